--- a/benches/policies/guards.rs
+++ b/benches/policies/guards.rs
@@ -15,9 +15,9 @@
             share: 1,
             priority: call.priority,
             deadline: call.deadline,
-            give_up: call.deadline,
+            queue_deadline: call.deadline,
             work_us: 0,
-            last: call.course.is_last_try(),
+            last_target: call.call_attempts.is_last_attempt(),
         };
         self.step_queue(target, AdmissionEvent::Arrive(waiting));
     }
@@ -33,7 +33,7 @@
             match action {
                 AdmissionAction::Start(call) => self.start(target, call.0 as u64),
                 AdmissionAction::Refuse { call, .. } => {
-                    let load = OrderedLoad(self.targets[target].queue.load(self.now));
+                    let load = OrderedLoad(self.targets[target].queue.next_report(self.now));
                     let leaving = self.targets[target].queue.is_leaving();
                     self.reply(call.0 as u64, AttemptEnd::Refused { load, leaving });
                 }
@@ -68,10 +68,10 @@
     /// Starts a second attempt if the first one is still under way.
     pub(super) fn hedge(&mut self, call: u64, attempt: u64) {
         let Some(state) = self.calls.get(&call) else { return };
-        if state.open != [attempt] || state.course.is_last_try() {
+        if state.open != [attempt] || state.call_attempts.is_last_attempt() {
             return;
         }
-        if self.entries[state.entry].hedge_budget.take() {
+        if self.entries[state.entry].hedge_budget.try_take() {
             self.result.hedged += 1;
             self.try_call(call);
         }
@@ -122,7 +122,7 @@
         };
         self.free_slot(target);
         self.step_queue(target, event);
-        let load = OrderedLoad(self.targets[target].queue.load(self.now));
+        let load = OrderedLoad(self.targets[target].queue.next_report(self.now));
         self.reply(attempt, AttemptEnd::Answered { failed, load });
     }
 }
--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -5,8 +5,9 @@
 
 use hdrhistogram::Histogram;
 use railspan::{
-    AdmissionEvent, AdmissionQueue, CallCourse, CallPriority, LoadReport, MicroTime, NextStep,
-    ProbeBudget, RetryBudget, SelectionPolicy, ServiceTargets, TryEnd, hedge_after,
+    AdmissionEvent, AdmissionQueue, AttemptResult, CallAttempts, CallPriority, LoadReport,
+    MicroTime, ProbeBudget, RetryBudget, RetryDecision, SelectionPolicy, ServiceTargets,
+    hedge_after,
 };
 use rand::RngExt;
 
@@ -184,7 +185,7 @@
             ModelEvent::Hedge { call, attempt } => self.hedge(call, attempt),
             ModelEvent::Cancel { attempt } => self.cancel(attempt),
             ModelEvent::Probe { entry, target } => {
-                let load = OrderedLoad(self.targets[target].queue.load(self.now));
+                let load = OrderedLoad(self.targets[target].queue.next_report(self.now));
                 let at = self.now + self.hop();
                 self.schedule(at, ModelEvent::ProbeReply { entry, target, load });
             }
@@ -232,7 +233,7 @@
         self.offered(urgent).1 += u64::from(worth);
         let call = ModelCall {
             entry: self.streams.calls.random_range(0..self.entries.len()),
-            course: CallCourse::open(true, railspan::MAX_ATTEMPTS),
+            call_attempts: CallAttempts::open(true, railspan::MAX_ATTEMPTS),
             tried: Vec::new(),
             gone: Vec::new(),
             priority: CallPriority { urgent, worth },
@@ -256,7 +257,7 @@
     pub(super) fn try_call(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let entry = call.entry;
-        if call.course.is_last_try() {
+        if call.call_attempts.is_last_attempt() {
             // Where it was full there may be the shortest queue all the same.
             call.tried.retain(|name| call.gone.contains(name));
         }
@@ -314,7 +315,7 @@
     pub(super) fn hear(&mut self, entry: usize, target: usize, load: LoadReport) {
         let now = self.now;
         if let Some(record) = self.entries[entry].service.find(&target_name(target)) {
-            record.hear(now, load);
+            record.record_report(now, load);
         }
     }
 
@@ -331,12 +332,12 @@
             AttemptEnd::Refused { load, leaving } => (load.0, None, *leaving),
         };
         if let Some(record) = entry.service.find(&target_name(target)) {
-            record.hear(now, load);
+            record.record_report(now, load);
             record.finish(now, latency, failed);
         }
-        let try_end = match end {
-            AttemptEnd::Answered { .. } => TryEnd::Answered,
-            AttemptEnd::Refused { .. } => TryEnd::Refused,
+        let attempt_result = match end {
+            AttemptEnd::Answered { .. } => AttemptResult::Answered,
+            AttemptEnd::Refused { .. } => AttemptResult::Refused,
         };
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.open.retain(|open| *open != attempt);
@@ -344,18 +345,18 @@
             call.gone.push(target_name(target));
         }
         let in_time = now < call.deadline;
-        match call.course.step(try_end, in_time, &mut entry.retry_budget) {
-            NextStep::Deliver => {
-                entry.hedge_budget.succeed();
+        match call.call_attempts.record(attempt_result, in_time, &mut entry.retry_budget) {
+            RetryDecision::Deliver => {
+                entry.hedge_budget.record_success();
                 self.end_call(id, !failed);
             }
             // The other attempt may still bring an answer.
             _ if !call.open.is_empty() => {}
-            NextStep::TryAgain => {
+            RetryDecision::Retry => {
                 self.result.retried += 1;
                 self.try_call(id);
             }
-            NextStep::TellNotRun | NextStep::TellUnknown => {
+            RetryDecision::ReportNotRun | RetryDecision::ReportUnknown => {
                 self.result.refused += 1;
                 self.end_call(id, false);
             }
--- a/benches/policies/parts.rs
+++ b/benches/policies/parts.rs
@@ -1,7 +1,7 @@
 //! What the model is made of: calls, tries, entries, targets, and what happens to them.
 
 use railspan::{
-    AdmissionQueue, CallCourse, CallPriority, LoadReport, MicroTime, ProbeBudget, RetryBudget,
+    AdmissionQueue, CallAttempts, CallPriority, LoadReport, MicroTime, ProbeBudget, RetryBudget,
     ServiceTargets, TargetName, TargetRecord,
 };
 use rand::{RngExt, SeedableRng};
@@ -50,7 +50,7 @@
 
 pub(super) struct ModelCall {
     pub(super) entry: usize,
-    pub(super) course: CallCourse,
+    pub(super) call_attempts: CallAttempts,
     pub(super) tried: Vec<TargetName>,
     /// Of those, the ones that are leaving.
     pub(super) gone: Vec<TargetName>,
--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -20,7 +20,7 @@
 use crate::call::entry::intake::CallerCall;
 use crate::call::entry::watching;
 use crate::call::reply::{self, EntryBody, GuardBody};
-use crate::decide::selection::TargetPlace;
+use crate::decide::selection::TargetLocation;
 
 /// Wait told to a caller whose target could not be reached, in milliseconds.
 const UNREACHABLE_RETRY_MS: u32 = 100;
@@ -67,7 +67,7 @@
 
 impl OutstandingCall {
     /// Notes that the guard could not be reached at all.
-    fn lose_contact(&mut self, place: &TargetPlace) {
+    fn lose_contact(&mut self, place: &TargetLocation) {
         self.unreachable = true;
         self.duty.tell_unreached(&place.host);
     }
@@ -85,7 +85,7 @@
             let before = record.ejected_until;
             record.finish(now, self.latency, self.failed);
             if self.unreachable {
-                record.lose_contact(now);
+                record.eject(now);
             }
             if record.ejected_until > before {
                 info!(self.duty.logger, "target left alone"; "target" => %self.target,
@@ -101,7 +101,7 @@
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     target: &TargetName,
-    place: &TargetPlace,
+    place: &TargetLocation,
     last: bool,
 ) -> AttemptEnd {
     let now = duty.clock.now();
@@ -209,7 +209,7 @@
     duty: &EntryDuty,
     call: &CallerCall,
     target: &TargetName,
-    place: &TargetPlace,
+    place: &TargetLocation,
     sent: Option<MicroTime>,
     left: Duration,
     last: bool,
@@ -242,7 +242,7 @@
 
 async fn connect(
     duty: &EntryDuty,
-    place: &TargetPlace,
+    place: &TargetLocation,
     deadline: Instant,
 ) -> Option<SendRequest<Bytes>> {
     let connecting = duty.pool.connect(place.guard, place.incarnation);
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -13,7 +13,7 @@
 use crate::call::entry::attempt::{self, AttemptEnd};
 use crate::call::entry::intake::CallerCall;
 use crate::call::entry::{ChosenTarget, EntryDuty};
-use crate::decide::retry::{CallCourse, RetryBudget, hedge_after};
+use crate::decide::retry::{CallAttempts, RetryBudget, hedge_after};
 use crate::rules::terms::HedgeRule;
 
 /// How much longer than usual a try may take before it is hedged.
@@ -37,14 +37,14 @@
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     chosen: &ChosenTarget,
-    course: &mut CallCourse,
+    course: &mut CallAttempts,
     last: bool,
     tried: &mut Vec<TargetName>,
 ) -> AttemptEnd {
     let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.place, last));
     // Of a request that may end its target, one copy is enough.
     let alone = last || duty.standing(call).is_suspected();
-    if alone || call.terms.hedge == HedgeRule::Never || !course.may_try_beside() {
+    if alone || call.terms.hedge == HedgeRule::Never || !course.may_hedge() {
         return first.await;
     }
     let mut progress = TryProgress::open(duty, call);
@@ -63,7 +63,7 @@
         }
         // No target would be in time now; one may be at the next look.
     };
-    course.try_beside();
+    course.count_hedge();
     let last = second.others == 0;
     let second = pin!(attempt::run(duty, call, &second.name, &second.place, last));
     match select(first, second).await {
@@ -135,9 +135,10 @@
 ) -> Option<ChosenTarget> {
     let granted = match call.terms.hedge {
         HedgeRule::Never => false,
-        HedgeRule::BesideSlow => duty.hedge_budget.borrow_mut().take(),
+        HedgeRule::BesideSlow => duty.hedge_budget.borrow_mut().try_take(),
         HedgeRule::WithinObjective => {
-            duty.can_be_in_time(call, tried) && duty.with_budget(&call.service, RetryBudget::take)
+            duty.can_be_in_time(call, tried)
+                && duty.with_budget(&call.service, RetryBudget::try_take)
         }
     };
     if !granted {
--- a/src/call/entry/measure.rs
+++ b/src/call/entry/measure.rs
@@ -25,7 +25,7 @@
         return;
     }
     let record = &targets[duty.rng.borrow_mut().random_range(0..targets.len())];
-    let Some(place) = &record.place else { return };
+    let Some(place) = &record.location else { return };
     let request = ProbeRequest {
         incarnation: place.incarnation,
         service: service.clone(),
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -35,8 +35,8 @@
 use crate::call::entry::route_book::RouteBook;
 use crate::call::headers::HeaderNames;
 use crate::decide::benefit;
-use crate::decide::crash_book::CrashBook;
-use crate::decide::probe::ProbeBudget;
+use crate::decide::crash_suspects::CrashSuspects;
+use crate::decide::probe_budget::ProbeBudget;
 use crate::decide::quota::QuotaTerms;
 use crate::decide::registry::TargetRegistry;
 use crate::decide::retry::{RetryBudget, RetryShare};
@@ -72,7 +72,7 @@
     /// At which of several holders of a quota this entry begins.
     quota_turn: usize,
     /// Requests that are suspected of ending targets.
-    pub(crate) suspects: RefCell<CrashBook>,
+    pub(crate) suspects: RefCell<CrashSuspects>,
     pub(crate) names: &'static HeaderNames,
     data_centre: CentreName,
     /// What a thousand bytes between data centres cost, in benefits of a call.
@@ -203,7 +203,7 @@
     fn adopt(&self, view: &FleetView) {
         let evacuated = self.evacuated.borrow();
         let mut registry = self.registry.borrow_mut();
-        registry.adopt(self.clock.now(), view, &self.data_centre, &evacuated);
+        registry.update(self.clock.now(), view, &self.data_centre, &evacuated);
         drop((registry, evacuated));
         let guards = self.pool.adopt(view, &self.data_centre);
         self.fleet_size.set(self.fleet_size.get().max(guards));
@@ -253,8 +253,8 @@
         target: &TargetName,
     ) -> Option<MicroTime> {
         let mut registry = self.registry.borrow_mut();
-        let lead = registry.find(service, target)?.clock_lead?;
-        Some(lead.theirs(self.clock.now()))
+        let lead = registry.find(service, target)?.clock_offset?;
+        Some(lead.remote_time(self.clock.now()))
     }
 
     /// Notes whether a target is watched; `false` if that was known already.
@@ -274,7 +274,7 @@
         let now = self.clock.now();
         let mut registry = self.registry.borrow_mut();
         if let Some(record) = registry.find(service, target) {
-            record.hear(now, load);
+            record.record_report(now, load);
         }
     }
 
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -16,7 +16,7 @@
 use crate::base::wire::{self, GuardDatagram, QuotaReply, QuotaRequest};
 use crate::call::reply::{self, EntryBody};
 use crate::decide::quota::{
-    AccountQuota, GRANT_LASTS, QuotaStep, QuotaStock, QuotaTerms, choose_holders,
+    AccountQuota, GRANT_LIFETIME, QuotaCredit, QuotaDecision, QuotaTerms, choose_holders,
 };
 use crate::rules::account::AccountParameters;
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(super) struct EntryQuotas {
     terms: Cell<QuotaTerms>,
-    stocks: RefCell<HashMap<AccountName, QuotaStock>>,
+    stocks: RefCell<HashMap<AccountName, QuotaCredit>>,
     /// Questions under way.
     asked: RefCell<HashMap<u64, oneshot::Sender<QuotaReply>>>,
     number: Cell<u64>,
@@ -83,14 +83,14 @@
     ) -> Result<(), Response<EntryBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
         let want = match self.stock(&account.name, |stock| stock.arrive(self.clock.now())) {
-            QuotaStep::Pass => return Ok(()),
-            QuotaStep::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
-            QuotaStep::Ask(want) => want,
+            QuotaDecision::Admit => return Ok(()),
+            QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
+            QuotaDecision::AskHolder(want) => want,
         };
         match self.ask_holders(&account.name, quota, want).await {
             HolderAnswer::Granted => Ok(()),
             HolderAnswer::Dry(wait_ms) => {
-                self.stock(&account.name, |stock| stock.run_dry(self.clock.now(), wait_ms));
+                self.stock(&account.name, |stock| stock.mark_exhausted(self.clock.now(), wait_ms));
                 Err(self.over_quota(account, id, wait_ms))
             }
             HolderAnswer::Unreached => {
@@ -112,7 +112,7 @@
         reply::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
     }
 
-    fn stock<T>(&self, account: &AccountName, act: impl FnOnce(&mut QuotaStock) -> T) -> T {
+    fn stock<T>(&self, account: &AccountName, act: impl FnOnce(&mut QuotaCredit) -> T) -> T {
         let mut stocks = self.quotas.stocks.borrow_mut();
         act(stocks.entry(account.clone()).or_default())
     }
@@ -134,7 +134,7 @@
             self.quotas.silent.borrow_mut().remove(&host);
             if reply.granted > 0 {
                 // One for the request that asks, the rest for those after it.
-                self.stock(account, |stock| stock.grant(asked, reply.granted - 1));
+                self.stock(account, |stock| stock.add_grant(asked, reply.granted - 1));
                 return HolderAnswer::Granted;
             }
             answer = match (answer, reply.wait_ms) {
@@ -178,7 +178,7 @@
     ) -> Option<QuotaReply> {
         let number = self.quotas.number.get();
         self.quotas.number.set(number + 1);
-        let settled = self.clock.now() >= self.quotas.terms.get().window + GRANT_LASTS;
+        let settled = self.clock.now() >= self.quotas.terms.get().window + GRANT_LIFETIME;
         let request = QuotaRequest { number, account: account.clone(), want, settled };
         let bytes = wire::encode(&GuardDatagram::Quota(request)).ok()?;
         let (sender, receiver) = oneshot::channel();
--- a/src/call/entry/route_book.rs
+++ b/src/call/entry/route_book.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::base::clock::MicroTime;
-use crate::decide::selection::CallOutlook;
+use crate::decide::selection::CallEstimate;
 use crate::rules::terms::CallTerms;
 
 /// Weight of the newest call in the smoothed figures of its route.
@@ -68,10 +68,10 @@
         terms: &CallTerms,
         left: MicroTime,
         crossing_cost: f64,
-    ) -> CallOutlook {
+    ) -> CallEstimate {
         let known = self.routes.get(&terms.kind);
         let bytes = known.map_or(0.0, |known| known.bytes) + HEAD_BYTES;
-        CallOutlook {
+        CallEstimate {
             work_us: known.map_or_else(|| guess_us(terms), |known| known.work_us),
             objective_us: left.0 as f64,
             crossing_cost: crossing_cost * bytes / 1_000.0,
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -16,9 +16,9 @@
 use crate::call::entry::measure;
 use crate::call::reply::{self, EntryBody};
 use crate::decide::benefit;
-use crate::decide::outcome::RowVerdict;
-use crate::decide::retry::{CallCourse, NextStep, TryEnd};
-use crate::decide::selection::TargetPlace;
+use crate::decide::call_ledger::ClaimVerdict;
+use crate::decide::retry::{AttemptResult, CallAttempts, RetryDecision};
+use crate::decide::selection::TargetLocation;
 
 /// When to come back while an earlier call with the key still runs.
 const RUNNING_RETRY_MS: u32 = 500;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct ChosenTarget {
     pub(crate) name: TargetName,
-    pub(crate) place: TargetPlace,
+    pub(crate) place: TargetLocation,
     /// Time it takes for a call, as far as known, in microseconds.
     pub(crate) service_us: f64,
     /// What the choice was made on, and its age.
@@ -43,37 +43,37 @@
         let mut tried: Vec<TargetName> = Vec::new();
         // Of those, the ones that will not be free again soon.
         let mut gone: Vec<TargetName> = Vec::new();
-        let mut course = CallCourse::open(call.terms.repeatable, call.terms.attempts);
+        let mut course = CallAttempts::open(call.terms.repeatable, call.terms.attempts);
         let mut refusal = ("no_target", NOT_READY_RETRY_MS);
         // A target's own answer, kept while another target is tried.
         let mut failure: Option<Response<EntryBody>> = None;
         loop {
-            if let Some(response) = self.hold_back(&call, course.give_up()) {
+            if let Some(response) = self.hold_back(&call, course.failure_decision()) {
                 return failure.unwrap_or(response);
             }
-            if course.is_last_try() {
+            if course.is_last_attempt() {
                 // Where it was full there may be the shortest queue all the same.
                 tried.retain(|name| gone.contains(name));
             }
             let Some(chosen) = self.choose(&call, &tried) else {
-                return failure.unwrap_or_else(|| give_up(course.give_up(), refusal));
+                return failure.unwrap_or_else(|| give_up(course.failure_decision(), refusal));
             };
             measure::probe_some(self, &call.service);
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
-            let last = course.is_last_try() || chosen.others == 0;
+            let last = course.is_last_attempt() || chosen.others == 0;
             let (end, cause) =
                 match hedge::run(self, &call, &chosen, &mut course, last, &mut tried).await {
                     AttemptEnd::Answered(response) if response.status().is_server_error() => {
                         gone.push(chosen.name);
                         failure = Some(response);
-                        (TryEnd::Failed, "failed")
+                        (AttemptResult::Failed, "failed")
                     }
                     AttemptEnd::Answered(response) => {
                         self.with_budget(&call.service, |budget| {
-                            course.step(TryEnd::Answered, true, budget)
+                            course.record(AttemptResult::Answered, true, budget)
                         });
-                        self.hedge_budget.borrow_mut().succeed();
+                        self.hedge_budget.borrow_mut().record_success();
                         return response;
                     }
                     AttemptEnd::Refused { reason, retry_after_ms } => {
@@ -84,12 +84,13 @@
                             gone.push(chosen.name);
                         }
                         let declined = reason == RefusalReason::Declined;
-                        let end = if declined { TryEnd::Declined } else { TryEnd::Refused };
+                        let end =
+                            if declined { AttemptResult::Declined } else { AttemptResult::Refused };
                         (end, reason.label())
                     }
                     AttemptEnd::Lost => {
                         gone.push(chosen.name);
-                        (TryEnd::Lost, "lost")
+                        (AttemptResult::Lost, "lost")
                     }
                     AttemptEnd::Claimed { row, version } => {
                         if let Some(response) = self.settle(&call, &row).await {
@@ -97,15 +98,16 @@
                         }
                         take_over(&mut call, version);
                         tried.clear();
-                        (TryEnd::TakeOver, "take_over")
+                        (AttemptResult::TakeOver, "take_over")
                     }
                 };
             let in_time = self.clock.now() < call.deadline;
-            let next = self.with_budget(&call.service, |budget| course.step(end, in_time, budget));
-            if let Some(response) = self.hold_back(&call, course.give_up()) {
+            let next =
+                self.with_budget(&call.service, |budget| course.record(end, in_time, budget));
+            if let Some(response) = self.hold_back(&call, course.failure_decision()) {
                 return failure.unwrap_or(response);
             }
-            if next != NextStep::TryAgain {
+            if next != RetryDecision::Retry {
                 return failure.unwrap_or_else(|| give_up(next, refusal));
             }
             info!(self.logger, "tried again"; "id" => &*call.id, "cause" => cause);
@@ -122,9 +124,9 @@
         let book = self.route_book.borrow();
         let outlook = book.outlook(&call.terms, left, self.crossing_cost);
         let mut rng = self.rng.borrow_mut();
-        let standing = self.suspects.borrow().standing(call.digest);
+        let standing = self.suspects.borrow().record(call.digest);
         let shared = standing.is_suspected();
-        let shared = shared.then(|| targets.choose_shared(now, call.digest, tried, &outlook));
+        let shared = shared.then(|| targets.choose_by_digest(now, call.digest, tried, &outlook));
         let index = match shared.flatten() {
             Some(index) => index,
             None => targets.choose_for(now, call.policy, tried, &outlook, &mut rng)?,
@@ -133,10 +135,10 @@
         let others = targets.targets.len().saturating_sub(tried.len() + 1);
         Some(ChosenTarget {
             name: record.name.clone(),
-            place: record.place.clone()?,
+            place: record.location.clone()?,
             service_us: record.service_us(),
             load: record.load,
-            load_age: now.since(record.heard),
+            load_age: now.since(record.reported_at),
             others,
         })
     }
@@ -178,13 +180,13 @@
     ) -> Option<Response<EntryBody>> {
         let print = call.claim.as_ref().map_or("", |claim| claim.print.as_str());
         match row.verdict(print) {
-            RowVerdict::OtherRequest => {
+            ClaimVerdict::KeyReused => {
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
                 return Some(reply::not_run(status, "key_of_another_request", 0));
             }
-            RowVerdict::Answered(answer) => return Some(reply::recorded(answer)),
-            RowVerdict::Lost => return Some(reply::unknown("earlier_call_lost", None)),
-            RowVerdict::AskGuard => {}
+            ClaimVerdict::Answered(answer) => return Some(reply::recorded(answer)),
+            ClaimVerdict::Unknown => return Some(reply::unknown("earlier_call_lost", None)),
+            ClaimVerdict::AskGuard => {}
         }
         match attempt::revoke(self, row.guard, row.incarnation, row.call, call.deadline).await {
             Some(CallStatus::NotRun) => None,
@@ -199,8 +201,8 @@
 }
 
 /// Makes the final answer of a call that no target answered.
-fn give_up(step: NextStep, refusal: (&str, u32)) -> Response<EntryBody> {
-    if step == NextStep::TellUnknown {
+fn give_up(step: RetryDecision, refusal: (&str, u32)) -> Response<EntryBody> {
+    if step == RetryDecision::ReportUnknown {
         return reply::unknown("lost", None);
     }
     let (reason, retry_after_ms) = refusal;
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -7,7 +7,7 @@
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
 use crate::call::entry::intake::CallerCall;
 use crate::call::reply::{self, EntryBody};
-use crate::decide::retry::NextStep;
+use crate::decide::retry::RetryDecision;
 
 /// Why such a call is turned away.
 const REASON: &str = "ends_targets";
@@ -17,7 +17,7 @@
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
         for notice in notices {
-            suspects.learn(now, *notice);
+            suspects.merge(now, *notice);
         }
     }
 
@@ -28,7 +28,7 @@
 
     /// Returns what is known of a call's request.
     pub(crate) fn standing(&self, call: &CallerCall) -> SuspectRecord {
-        self.suspects.borrow().standing(call.digest)
+        self.suspects.borrow().record(call.digest)
     }
 
     /// Ends a call whose request reaches no target, if it is one.
@@ -38,7 +38,7 @@
     pub(super) fn hold_back(
         &self,
         call: &CallerCall,
-        give_up: NextStep,
+        give_up: RetryDecision,
     ) -> Option<Response<EntryBody>> {
         let record = self.standing(call);
         if !record.is_blamed() {
@@ -46,9 +46,9 @@
         }
         self.metrics.held_back.inc();
         warn!(self.logger, "held back"; "id" => &*call.id, "digest" => %call.digest,
-            "crashes" => record.crashes, "ran" => give_up == NextStep::TellUnknown);
+            "crashes" => record.crashes, "ran" => give_up == RetryDecision::ReportUnknown);
         Some(match give_up {
-            NextStep::TellUnknown => reply::unknown(REASON, None),
+            RetryDecision::ReportUnknown => reply::unknown(REASON, None),
             _ => reply::not_run_ever(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
     }
--- a/src/call/entry/watching.rs
+++ b/src/call/entry/watching.rs
@@ -15,7 +15,7 @@
 use super::EntryDuty;
 use crate::base::ids::{ServiceName, TargetName};
 use crate::base::wire::{LoadReport, WatchHead};
-use crate::decide::selection::TargetPlace;
+use crate::decide::selection::TargetLocation;
 
 /// Targets that one entry watches at most.
 ///
@@ -31,7 +31,7 @@
     duty: &Rc<EntryDuty>,
     service: &ServiceName,
     target: &TargetName,
-    place: &TargetPlace,
+    place: &TargetLocation,
 ) {
     if duty.watched.get() >= MAX_WATCHED || !duty.mark_watched(service, target, true) {
         return;
@@ -53,7 +53,7 @@
     duty: &EntryDuty,
     service: &ServiceName,
     target: &TargetName,
-    place: &TargetPlace,
+    place: &TargetLocation,
 ) -> bool {
     let head = watch_head(duty, service, target);
     let asked = async {
@@ -70,7 +70,7 @@
     duty: &EntryDuty,
     service: &ServiceName,
     target: &TargetName,
-    place: &TargetPlace,
+    place: &TargetLocation,
 ) -> Option<()> {
     let head = watch_head(duty, service, target);
     let mut reader = duty.pool.ask(place.guard, place.incarnation, "/watch", &head).await?;
--- a/src/call/guard/cold.rs
+++ b/src/call/guard/cold.rs
@@ -32,11 +32,11 @@
         let config = self.config.borrow();
         let start =
             config.as_ref().and_then(|config| config.cold_start(&target.announcement.service));
-        let bound =
-            start.map(|start| self.cold_terms.get().bound(f64::from(start.per_1000_s) / 1_000.0));
+        let bound = start
+            .map(|start| self.cold_terms.get().max_rate(f64::from(start.per_1000_s) / 1_000.0));
         // Before the first configuration nobody knows what a cold target bears.
         let bound = if config.is_some() { bound } else { Some(0) };
-        target.queue.cold_mut().set_bound(bound);
+        target.queue.cold_start_mut().set_max_rate(bound);
     }
 
     /// Notes how much longer a target says to stay cold.
@@ -50,15 +50,15 @@
         let config = self.config.borrow();
         let start = config.as_ref().and_then(|config| config.cold_start(&key.0));
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
-            let gate = target.queue.cold_mut();
+            let gate = target.queue.cold_start_mut();
             let before = gate.is_cold(now);
             let told = MicroTime::from(left);
             if let Some(start) = start.filter(|_| !left.is_zero()) {
-                gate.note_turn(now, told, MicroTime::from_millis(u64::from(start.lasts_ms)));
+                gate.note_cold_start(now, told, MicroTime::from_millis(u64::from(start.lasts_ms)));
             }
             match source {
-                ColdSource::Heartbeat => gate.hear_heartbeat(now, told),
-                ColdSource::Answer => gate.hear_answer(now, told),
+                ColdSource::Heartbeat => gate.note_heartbeat(now, told),
+                ColdSource::Answer => gate.note_health_answer(now, told),
             }
             if before != gate.is_cold(now) {
                 info!(self.logger, "cold"; "target" => %key.1, "cold" => !before,
@@ -73,7 +73,7 @@
     pub(super) fn doubt(&self, key: &(ServiceName, TargetName)) {
         let now = self.clock.now();
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
-            target.queue.cold_mut().doubt(now);
+            target.queue.cold_start_mut().assume_cold(now);
         }
     }
 
@@ -88,7 +88,7 @@
         info!(self.logger, "evacuation"; "evacuated" => evacuated);
         let now = self.clock.now();
         for target in self.targets.borrow_mut().values_mut() {
-            target.queue.cold_mut().doubt(now);
+            target.queue.cold_start_mut().assume_cold(now);
         }
         self.check_leases();
     }
--- a/src/call/guard/crashes.rs
+++ b/src/call/guard/crashes.rs
@@ -21,7 +21,7 @@
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
 use crate::base::wire::RefusalReason;
 use crate::call::guard::served::ServedCall;
-use crate::decide::run_roster::TrackedRun;
+use crate::decide::running_requests::TrackedRequest;
 use crate::duty::events::{PeersEvent, SuspectSource};
 
 /// Longest time for which a lost call waits to hear whether its target ended, so that
@@ -43,13 +43,13 @@
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
         for notice in notices {
-            suspects.learn(now, *notice);
+            suspects.merge(now, *notice);
         }
     }
 
     /// Returns what is known of a request.
     pub(crate) fn standing(&self, digest: RequestDigest) -> SuspectRecord {
-        self.suspects.borrow().standing(digest)
+        self.suspects.borrow().record(digest)
     }
 
     /// Waits until a suspected call may run at its target: of those that crashed before
@@ -70,12 +70,12 @@
 
     /// Notes that a call begins to run; refuses it if its request ends targets.
     pub(super) fn begin_run(&self, call: &ServedCall) -> Result<(), RefusalReason> {
-        let began_with = self.standing(call.digest);
-        if began_with.is_blamed() {
+        let record_at_start = self.standing(call.digest);
+        if record_at_start.is_blamed() {
             return Err(RefusalReason::EndsTargets);
         }
         if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
-            target.roster.begin(call.call, TrackedRun { digest: call.digest, began_with });
+            target.roster.start(call.call, TrackedRequest { digest: call.digest, record_at_start });
         }
         Ok(())
     }
@@ -86,7 +86,7 @@
         if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
             match end {
                 RunEnd::Answered | RunEnd::NotRun => target.roster.finish(call.call),
-                RunEnd::Unanswered => target.roster.leave(now, call.call),
+                RunEnd::Unanswered => target.roster.abandon(now, call.call),
             }
         }
         let record = self.standing(call.digest);
@@ -141,7 +141,7 @@
     /// Takes no more calls for a target that is gone, until it sends a heartbeat.
     fn lapse(&self, key: &TargetKey) {
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
-            target.lease.lapse();
+            target.lease.mark_unreachable();
         }
         self.check_leases();
     }
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -34,7 +34,7 @@
         }
         let key = (service, target);
         let now = self.clock.now();
-        let load = self.targets.borrow_mut().get_mut(&key)?.queue.load(now);
+        let load = self.targets.borrow_mut().get_mut(&key)?.queue.next_report(now);
         let (service, target) = key;
         Some(ProbeReply { service, target, load })
     }
--- a/src/call/guard/guarded_call.rs
+++ b/src/call/guard/guarded_call.rs
@@ -156,9 +156,9 @@
             share: head.share,
             priority: head.priority,
             deadline: call.deadline,
-            give_up: call.deadline.min(call.give_up),
+            queue_deadline: call.deadline.min(call.give_up),
             work_us: head.work_us,
-            last: head.last,
+            last_target: head.last,
         };
         if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
             target.used = self.clock.now();
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -46,7 +46,8 @@
 pub(crate) fn ask_stale(duty: &Rc<GuardDuty>, now: MicroTime) {
     let mut targets = duty.targets.borrow_mut();
     for (key, target) in targets.iter_mut() {
-        let doubted = target.queue.cold().is_doubted() && target.queue.cold().is_cold(now);
+        let doubted =
+            target.queue.cold_start().is_assumed_cold() && target.queue.cold_start().is_cold(now);
         let used = now.since(target.used) < IN_USE || target.running() > 0 || doubted;
         let after = if doubted { DOUBTED_AFTER } else { target.queue.speed().stale_after() };
         let stale = now.since(target.slowness_heard) >= after;
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -11,8 +11,8 @@
 use crate::base::wire::LoadReport;
 use crate::decide::admission::{AdmissionAction, AdmissionQueue};
 use crate::decide::lease::TargetLease;
-use crate::decide::life_order::TargetLife;
-use crate::decide::run_roster::RunRoster;
+use crate::decide::running_requests::RunningRequests;
+use crate::decide::target_incarnation::TargetIncarnation;
 use crate::duty::target_report::TargetAnnouncement;
 
 /// A target of this host.
@@ -23,7 +23,7 @@
     pub(crate) lease: TargetLease,
     pub(crate) queue: AdmissionQueue,
     /// Its newest life that was heard of.
-    pub(crate) life: TargetLife,
+    pub(crate) life: TargetIncarnation,
     /// Calls that wait for the table while they hold a slot.
     pub(crate) claiming: usize,
     /// Whether the peers were told that it takes calls. An evacuation of the data
@@ -33,7 +33,7 @@
     pub(crate) told_near: LoadReport,
     pub(crate) told_far: LoadReport,
     /// What runs there.
-    pub(crate) roster: RunRoster,
+    pub(crate) roster: RunningRequests,
     /// Held by the one call whose request may end the target.
     pub(crate) trial: Arc<Mutex<()>>,
     /// Whether the target is being asked if it ended; set to false when that is known.
@@ -49,7 +49,7 @@
     pub(crate) fn open(
         now: MicroTime,
         announcement: TargetAnnouncement,
-        life: TargetLife,
+        life: TargetIncarnation,
         lasts: Duration,
     ) -> Self {
         let mut queue = AdmissionQueue::open(announcement.slots);
@@ -63,7 +63,7 @@
             told_ready: false,
             told_near: LoadReport::default(),
             told_far: LoadReport::default(),
-            roster: RunRoster::default(),
+            roster: RunningRequests::default(),
             trial: Arc::default(),
             exam: None,
             used: now,
@@ -89,17 +89,17 @@
         refusals: &mut Vec<AdmissionAction>,
     ) {
         self.queue.leave(refusals);
-        let cold = self.queue.cold().clone();
+        let cold = self.queue.cold_start().clone();
         let (life, claiming) = (self.life, self.claiming);
         *self = Self::open(now, announcement, life, lasts);
         self.claiming = claiming;
-        *self.queue.cold_mut() = cold;
+        *self.queue.cold_start_mut() = cold;
     }
 
     /// Takes the end of the target's life; returns the requests that it ended under,
     /// none if it said that it leaves and may end when it likes.
     pub(crate) fn end_runs(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
-        let mut notices = self.roster.end(now);
+        let mut notices = self.roster.target_ended(now);
         notices.retain(|_notice| !self.lease.is_leaving());
         notices
     }
@@ -120,7 +120,7 @@
             "announcement": self.announcement,
             "lease": self.lease,
             "life": self.life,
-            "cold": self.queue.cold(),
+            "cold": self.queue.cold_start(),
             "ready": self.lease.is_ready(now),
             "running": self.queue.running(),
             "waiting": self.queue.waiting(),
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -44,11 +44,11 @@
 use crate::call::guard::target_pool::TargetPool;
 use crate::call::headers::HeaderNames;
 use crate::decide::admission::{AdmissionAction, AdmissionEvent};
+use crate::decide::call_ledger::CallLedger;
 use crate::decide::cold_start::ColdTerms;
-use crate::decide::crash_book::CrashBook;
-use crate::decide::life_order::TargetLife;
-use crate::decide::outcome::CallLedger;
+use crate::decide::crash_suspects::CrashSuspects;
 use crate::decide::quota::QuotaTerms;
+use crate::decide::target_incarnation::TargetIncarnation;
 use crate::duty::events::{GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::ring::{RingInbox, RingSender};
 use crate::rules::config::FleetConfig;
@@ -101,11 +101,11 @@
     pub(crate) address: SocketAddr,
     pub(crate) targets: RefCell<HashMap<(ServiceName, TargetName), LocalTarget>>,
     /// Targets that ended, the newest last, to know their late heartbeats.
-    pub(crate) ended: RefCell<VecDeque<(TargetName, TargetLife)>>,
+    pub(crate) ended: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
     pub(crate) ledger: RefCell<CallLedger>,
     pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<StartSignal>>>,
     /// Requests that are suspected of ending targets.
-    pub(crate) suspects: RefCell<CrashBook>,
+    pub(crate) suspects: RefCell<CrashSuspects>,
     /// Streams of calls that have not ended.
     open: watch::Sender<usize>,
     pub(crate) stopping: watch::Sender<bool>,
@@ -198,7 +198,7 @@
                 self.quotas.terms.set(quota);
                 self.choose_quotas();
                 let mut targets = self.targets.borrow_mut();
-                targets.values_mut().for_each(|target| target.lease.extend_to(lease));
+                targets.values_mut().for_each(|target| target.lease.set_duration(lease));
                 drop(targets);
                 self.bound_cold_targets();
             }
@@ -341,7 +341,7 @@
     pub(crate) fn load(&self, key: &(ServiceName, TargetName)) -> LoadReport {
         let mut targets = self.targets.borrow_mut();
         let now = self.clock.now();
-        targets.get_mut(key).map(|target| target.queue.load(now)).unwrap_or_default()
+        targets.get_mut(key).map(|target| target.queue.next_report(now)).unwrap_or_default()
     }
 
     pub(crate) fn refusal(
--- a/src/call/guard/quota.rs
+++ b/src/call/guard/quota.rs
@@ -27,7 +27,7 @@
     /// Answers an entry that asks for a part of an account's quota.
     pub(super) fn answer(&self, now: MicroTime, request: &QuotaRequest) -> QuotaReply {
         let QuotaRequest { account, want, settled, .. } = request;
-        let grant = self.holder.borrow_mut().take(now, account, *want, *settled);
+        let grant = self.holder.borrow_mut().grant(now, account, *want, *settled);
         QuotaReply {
             number: request.number,
             granted: grant.map_or(0, |grant| grant.granted),
@@ -65,12 +65,12 @@
         let accounts = config.accounts.iter();
         let quotas = accounts.filter_map(|account| Some((&account.name, account.quota?)));
         let (now, terms) = (self.clock.now(), self.quotas.terms.get());
-        let changes = self.quotas.holder.borrow_mut().adopt(now, &self.host, &up, quotas, terms);
+        let changes = self.quotas.holder.borrow_mut().update(now, &self.host, &up, quotas, terms);
         for change in changes {
             let (account, held) = match &change {
-                HolderChange::Took(account) => (account, "took"),
-                HolderChange::Adopted(account) => (account, "adopted"),
-                HolderChange::GaveUp(account) => (account, "gave up"),
+                HolderChange::Acquired(account) => (account, "took"),
+                HolderChange::Updated(account) => (account, "adopted"),
+                HolderChange::Released(account) => (account, "gave up"),
             };
             info!(self.logger, "quota"; "account" => %account, "held" => held, "up" => up.len());
         }
--- a/src/call/guard/reporting.rs
+++ b/src/call/guard/reporting.rs
@@ -18,7 +18,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::h2io::{self, HeadReader};
 use crate::base::wire::{LoadReport, WatchHead};
-use crate::decide::report_pace::ReportPace;
+use crate::decide::report_pacer::ReportPacer;
 
 /// Bytes of one report on its stream, with the frame around it.
 const REPORT_BYTES: u64 = 50;
@@ -46,7 +46,7 @@
 /// The entries of one distance that listen to a guard.
 pub(crate) struct WatcherGroup {
     changes: watch::Sender<()>,
-    pace: RefCell<ReportPace>,
+    pace: RefCell<ReportPacer>,
 }
 
 /// The entries that listen to a guard, in its data centre and in others.
@@ -57,7 +57,7 @@
 
 impl WatcherGroup {
     fn open(bytes_per_s: u32) -> Self {
-        let pace = RefCell::new(ReportPace::open(bytes_per_s));
+        let pace = RefCell::new(ReportPacer::open(bytes_per_s));
         Self { changes: watch::Sender::new(()), pace }
     }
 
@@ -94,14 +94,14 @@
     ) {
         let mut targets = self.targets.borrow_mut();
         let changed = targets.values_mut().any(|target| {
-            let load = target.queue.peek();
+            let load = target.queue.current_report();
             differs(told(target), &load)
         });
         if !changed || !group.take_turn(now) {
             return;
         }
         for target in targets.values_mut() {
-            *told(target) = target.queue.peek();
+            *told(target) = target.queue.current_report();
         }
         group.changes.send_replace(());
     }
--- a/src/call/guard/served/mod.rs
+++ b/src/call/guard/served/mod.rs
@@ -188,7 +188,7 @@
         self.record(claim, &status);
         let mut ledger = duty.ledger.borrow_mut();
         if head.repeatable {
-            ledger.release(duty.clock.now(), self.call, status, self.deadline);
+            ledger.finish_repeatable(duty.clock.now(), self.call, status, self.deadline);
         } else {
             ledger.finish(duty.clock.now(), self.call, status);
         }
--- a/src/call/guard/target_life.rs
+++ b/src/call/guard/target_life.rs
@@ -11,7 +11,7 @@
 use crate::call::guard::GuardDuty;
 use crate::call::guard::cold::ColdSource;
 use crate::call::guard::local_target::LocalTarget;
-use crate::decide::life_order::{LifeChange, TargetLife};
+use crate::decide::target_incarnation::{HeartbeatVerdict, TargetIncarnation};
 use crate::duty::events::PeersEvent;
 use crate::duty::target_report::{TargetAnnouncement, TargetReport};
 
@@ -62,10 +62,10 @@
         let mut suspects = Vec::new();
         let mut targets = self.targets.borrow_mut();
         if let Some(target) = targets.get_mut(&key) {
-            match target.life.hear(born, sequence) {
-                LifeChange::Late => return false,
-                LifeChange::Present => target.renew(now, announcement),
-                LifeChange::Anew => {
+            match target.life.note_heartbeat(born, sequence) {
+                HeartbeatVerdict::Stale => return false,
+                HeartbeatVerdict::Current => target.renew(now, announcement),
+                HeartbeatVerdict::Restarted => {
                     suspects = target.end_runs(now);
                     info!(self.logger, "target restarted"; "target" => %announcement.target,
                         "born" => born, "running" => target.running());
@@ -78,7 +78,7 @@
             info!(self.logger, "target announced"; "target" => %announcement.target,
                 "born" => born);
             let mut target = LocalTarget::open(now, announcement, life, self.target_lease.get());
-            target.queue.cold_mut().follow_predecessor(MicroTime(0));
+            target.queue.cold_start_mut().block_for_predecessor(MicroTime(0));
             self.bound_cold_target(&mut target);
             targets.insert(key.clone(), target);
         }
@@ -91,17 +91,17 @@
 
     /// Ends what was at an announcement's address before it; `false` if one that was
     /// born later is there, so that the announcement is a late one.
-    fn take_address(&self, announcement: &TargetAnnouncement, life: &TargetLife) -> bool {
+    fn take_address(&self, announcement: &TargetAnnouncement, life: &TargetIncarnation) -> bool {
         let mut earlier = Vec::new();
         for (key, target) in &*self.targets.borrow() {
             let other = &target.announcement;
             if other.address != announcement.address || other.target == announcement.target {
                 continue;
             }
-            if life.is_before(&target.life) {
+            if life.is_older_than(&target.life) {
                 return false;
             }
-            if target.life.is_before(life) && !target.life.is_ended() {
+            if target.life.is_older_than(life) && !target.life.is_ended() {
                 earlier.push(key.clone());
             }
         }
@@ -118,22 +118,22 @@
         name: &TargetName,
         born: Option<u64>,
         sequence: Option<u64>,
-    ) -> Option<TargetLife> {
+    ) -> Option<TargetIncarnation> {
         let mut ended = self.ended.borrow_mut();
         let place = ended.iter().position(|(ended, _)| ended == name);
         if let Some(place) = place {
-            if ended[place].1.hear(born, sequence) != LifeChange::Anew {
+            if ended[place].1.note_heartbeat(born, sequence) != HeartbeatVerdict::Restarted {
                 return None;
             }
             ended.remove(place);
         }
-        Some(TargetLife::open(born, sequence.unwrap_or_default()))
+        Some(TargetIncarnation::open(born, sequence.unwrap_or_default()))
     }
 
     /// Ends a target's life: what it said earlier may still arrive, late. A word of
     /// an earlier life's end does not touch the present one.
     pub(crate) fn end_target(&self, name: &TargetName, born: Option<u64>) {
-        let mut life = TargetLife::open(born, 0);
+        let mut life = TargetIncarnation::open(born, 0);
         for target in self.targets.borrow_mut().values_mut() {
             if target.announcement.target != *name {
                 continue;
--- a/src/decide/admission/events.rs
+++ b/src/decide/admission/events.rs
@@ -18,11 +18,11 @@
     /// When its caller stops waiting.
     pub deadline: MicroTime,
     /// When it is refused if it has no slot yet; not after the deadline.
-    pub give_up: MicroTime,
+    pub queue_deadline: MicroTime,
     /// Time a target at its usual speed takes, in microseconds; zero if unknown.
     pub work_us: u32,
     /// Whether its entry has no other target left to try.
-    pub last: bool,
+    pub last_target: bool,
 }
 
 /// What happens at a guard.
--- a/src/decide/admission/forecast.rs
+++ b/src/decide/admission/forecast.rs
@@ -18,7 +18,7 @@
         if call.work_us == 0 {
             return MicroTime(self.service_us as u64);
         }
-        MicroTime(self.speed.time_for(f64::from(call.work_us)) as u64)
+        MicroTime(self.speed.expected_us(f64::from(call.work_us)) as u64)
     }
 
     /// Returns the time after which a running call is expected to end.
@@ -59,7 +59,7 @@
     pub fn retry_after_ms(&self) -> u32 {
         let served = self.wait_behind(self.waiting.iter());
         let room = self.cold.wait_behind(self.now, self.waiting.len());
-        let wait = served.max(self.speed.spell_left(self.now)).max(room).ceil_millis();
+        let wait = served.max(self.speed.slow_period_left(self.now)).max(room).ceil_millis();
         wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1) as u32
     }
 }
--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -18,7 +18,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, CallId};
 use crate::base::wire::{LoadReport, RefusalReason};
-use crate::decide::cold_start::ColdGate;
+use crate::decide::cold_start::ColdStartLimit;
 use crate::decide::host_speed::HostSpeed;
 use crate::decide::limit::ConcurrencyLimit;
 
@@ -68,7 +68,7 @@
 pub struct AdmissionQueue {
     limit: ConcurrencyLimit,
     speed: HostSpeed,
-    cold: ColdGate,
+    cold: ColdStartLimit,
     /// Running calls, summed up over time, in microseconds.
     crowd: f64,
     running: HashMap<CallId, RunningCall>,
@@ -92,7 +92,7 @@
         Self {
             limit: ConcurrencyLimit::open(slots),
             speed: HostSpeed::default(),
-            cold: ColdGate::default(),
+            cold: ColdStartLimit::default(),
             crowd: 0.0,
             running: HashMap::new(),
             waiting: Vec::new(),
@@ -166,14 +166,14 @@
     }
 
     /// Returns the load for the next message to an entry.
-    pub fn load(&mut self, now: MicroTime) -> LoadReport {
+    pub fn next_report(&mut self, now: MicroTime) -> LoadReport {
         self.sequence += 1;
-        LoadReport { told: now, ..self.peek() }
+        LoadReport { told: now, ..self.current_report() }
     }
 
     /// Returns the load as the last message told it, or newer.
     #[must_use]
-    pub fn peek(&self) -> LoadReport {
+    pub fn current_report(&self) -> LoadReport {
         LoadReport {
             in_flight: self.running.len() as u16,
             queued: self.waiting.len() as u16,
@@ -203,13 +203,13 @@
 
     /// Returns what is known of whether the target is cold.
     #[must_use]
-    pub const fn cold(&self) -> &ColdGate {
+    pub const fn cold_start(&self) -> &ColdStartLimit {
         &self.cold
     }
 
     /// Returns the same to note what was heard; calls that waited for it start with
     /// the next [`Self::step`].
-    pub const fn cold_mut(&mut self) -> &mut ColdGate {
+    pub const fn cold_start_mut(&mut self) -> &mut ColdStartLimit {
         &mut self.cold
     }
 
@@ -236,7 +236,7 @@
     fn pass(&mut self, now: MicroTime) {
         let passed = now.since(self.now).0 as f64;
         self.crowd += passed * self.running.len() as f64;
-        self.limit.pass(now, !self.waiting.is_empty());
+        self.limit.advance(now, !self.waiting.is_empty());
         self.now = now;
     }
 
@@ -251,15 +251,15 @@
         }
         let ahead = self.waiting.iter().filter(|other| !self.goes_before(&call, other));
         let cold = self.cold.wait_behind(self.now, ahead.clone().count());
-        if cold > MicroTime(0) && !call.last {
+        if cold > MicroTime(0) && !call.last_target {
             out.push(self.refuse(call.call, RefusalReason::Cold));
             return;
         }
-        if self.now + self.wait_behind(ahead).max(cold) >= call.give_up {
+        if self.now + self.wait_behind(ahead).max(cold) >= call.queue_deadline {
             out.push(self.refuse(call.call, RefusalReason::TooLate));
             return;
         }
-        if !call.last && self.waiting.len() >= self.short_queue() {
+        if !call.last_target && self.waiting.len() >= self.short_queue() {
             out.push(self.refuse(call.call, RefusalReason::Full));
             return;
         }
@@ -272,7 +272,7 @@
     fn arrive_at_free_slot(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
         if call.deadline <= self.now {
             out.push(self.refuse(call.call, RefusalReason::TooLate));
-        } else if !call.last && self.speed.is_slow() {
+        } else if !call.last_target && self.speed.is_slow() {
             out.push(self.refuse(call.call, RefusalReason::Slow));
         } else if self.should_wait(&call) {
             self.waiting.push(call);
@@ -284,12 +284,12 @@
     /// Tells whether a call that could start should wait for the host to be
     /// faster. One that is late anyway starts.
     fn should_wait(&self, call: &WaitingCall) -> bool {
-        call.give_up > self.now && self.speed.is_worth_waiting(f64::from(call.work_us))
+        call.queue_deadline > self.now && self.speed.is_worth_waiting(f64::from(call.work_us))
     }
 
     /// Tells whether one more call may begin, as far as slots and a cold target go.
     fn has_room(&self) -> bool {
-        self.running.len() < self.limit() && self.cold.has_room(self.now)
+        self.running.len() < self.limit() && self.cold.may_start(self.now)
     }
 
     fn short_queue(&self) -> usize {
@@ -315,7 +315,7 @@
         }
         let beside = (self.crowd - ended.crowd_then) / ran;
         let stretch = ran / ended.slowness / f64::from(ended.work_us);
-        self.limit.note(self.now, beside, stretch);
+        self.limit.record(self.now, beside, stretch);
     }
 
     /// Refuses what waited in vain; starts it where there is room to spare, since
@@ -323,7 +323,7 @@
     fn expire(&mut self, out: &mut Vec<AdmissionAction>) {
         let mut index = 0;
         while index < self.waiting.len() {
-            if self.waiting[index].give_up > self.now {
+            if self.waiting[index].queue_deadline > self.now {
                 index += 1;
                 continue;
             }
@@ -338,7 +338,7 @@
     }
 
     fn has_room_to_spare(&self) -> bool {
-        self.running.len() * SPARE_PART < self.limit() && self.cold.has_room(self.now)
+        self.running.len() * SPARE_PART < self.limit() && self.cold.may_start(self.now)
     }
 
     fn start(&mut self, out: &mut Vec<AdmissionAction>) {
@@ -363,7 +363,7 @@
             crowd_then: self.crowd,
         };
         self.running.insert(call.call, running);
-        self.cold.begin(self.now);
+        self.cold.record_start(self.now);
         out.push(AdmissionAction::Start(call.call));
     }
 
--- a/src/decide/benefit.rs
+++ b/src/decide/benefit.rs
@@ -12,7 +12,7 @@
 use crate::base::clock::MicroTime;
 use crate::decide::host_speed::USUAL_PERCENT;
 use crate::decide::selection::{
-    CallOutlook, SelectionInput, SelectionPolicy, TargetRecord, half_life,
+    CallEstimate, SelectionInput, SelectionPolicy, TargetRecord, half_life,
 };
 
 /// Name of the policy.
@@ -64,14 +64,14 @@
     SelectionPolicy { name: BENEFIT_POLICY, choose: choose_worthwhile };
 
 fn choose_worthwhile(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
-    let outlook = CallOutlook {
-        crossing_cost: input.outlook.crossing_cost * near_choice(input),
-        ..*input.outlook
+    let estimate = CallEstimate {
+        crossing_cost: input.estimate.crossing_cost * near_choice(input),
+        ..*input.estimate
     };
     let values: Vec<(usize, f64)> = input
         .eligible
         .iter()
-        .map(|&index| (index, benefit(&input.targets[index], input.now, &outlook)))
+        .map(|&index| (index, benefit(&input.targets[index], input.now, &estimate)))
         .collect();
     let best = values.iter().fold(f64::NEG_INFINITY, |best, (_, value)| best.max(*value));
     let near: Vec<usize> = values
@@ -85,34 +85,34 @@
 /// Returns how much of the crossing cost counts: little where the near data centre
 /// offers no choice, since calls kept there would wait for each other.
 fn near_choice(input: &SelectionInput<'_>) -> f64 {
-    let near = input.eligible.iter().filter(|&&index| !input.targets[index].far).count() as f64;
+    let near = input.eligible.iter().filter(|&&index| !input.targets[index].remote).count() as f64;
     near / (near + 1.0)
 }
 
 /// Estimates what a call sent to a target now would be worth.
-fn benefit(record: &TargetRecord, now: MicroTime, outlook: &CallOutlook) -> f64 {
-    let expected = expected_us(record, now, outlook);
-    let part_used = expected / outlook.objective_us.max(1.0);
+fn benefit(record: &TargetRecord, now: MicroTime, estimate: &CallEstimate) -> f64 {
+    let expected = expected_us(record, now, estimate);
+    let part_used = expected / estimate.objective_us.max(1.0);
     let in_time = 1.0 / (1.0 + part_used.powi(STEEPNESS));
     let sound = 1.0 - f64::from(record.load.failing) / 1_000.0;
-    let crossing = if record.far { outlook.crossing_cost } else { 0.0 };
+    let crossing = if record.remote { estimate.crossing_cost } else { 0.0 };
     in_time * sound - SPEED_PART * part_used.min(MOST_LATE) - crossing - contended(record)
 }
 
 /// Tells whether a call sent now would likely be in time, at a target that has
 /// slots to spare.
-pub(crate) fn is_promising(record: &TargetRecord, now: MicroTime, outlook: &CallOutlook) -> bool {
+pub(crate) fn is_promising(record: &TargetRecord, now: MicroTime, estimate: &CallEstimate) -> bool {
     let load = &record.load;
     let used = f64::from(load.in_flight + load.queued + 1) / f64::from(load.slots.max(1));
     let spare = used <= CROWDED_FROM && !record.is_avoided(now);
-    spare && expected_us(record, now, outlook) < outlook.objective_us
+    spare && expected_us(record, now, estimate) < estimate.objective_us
 }
 
 /// Estimates when a call sent now would be answered, in microseconds.
-fn expected_us(record: &TargetRecord, now: MicroTime, outlook: &CallOutlook) -> f64 {
+fn expected_us(record: &TargetRecord, now: MicroTime, estimate: &CallEstimate) -> f64 {
     let load = &record.load;
     let slowness = slowness_now(record, now);
-    let work = if outlook.work_us > 0.0 { outlook.work_us } else { record.service_us() };
+    let work = if estimate.work_us > 0.0 { estimate.work_us } else { record.service_us() };
     let slots = f64::from(load.slots.max(1));
     let ahead = record.ahead(now, OTHERS_HALF_LIFE_US);
     let used = (ahead + 1.0) / slots;
@@ -127,14 +127,14 @@
 /// nothing for one that takes all that comes.
 fn cold_room(record: &TargetRecord) -> Option<f64> {
     let cold = record.load.cold?;
-    let sent = record.outstanding.saturating_sub(record.outstanding_then);
+    let sent = record.outstanding.saturating_sub(record.outstanding_at_report);
     Some((f64::from(cold.now) - f64::from(sent)).max(0.0))
 }
 
 /// Estimates how long a call sent now would wait for the room of a cold target.
 fn cold_wait_us(record: &TargetRecord, now: MicroTime) -> f64 {
     let Some(cold) = record.load.cold.filter(|_| cold_room(record) < Some(1.0)) else { return 0.0 };
-    let age = now.since(record.heard).0 as f64;
+    let age = now.since(record.reported_at).0 as f64;
     (f64::from(cold.next_ms) * 1_000.0 - age).max(0.0)
 }
 
@@ -146,7 +146,7 @@
 
 /// Returns the factor by which work is slower than usual at a target now.
 pub(crate) fn slowness_now(record: &TargetRecord, now: MicroTime) -> f64 {
-    slowness(record.load.slowness, now.since(record.heard).0 as f64)
+    slowness(record.load.slowness, now.since(record.reported_at).0 as f64)
 }
 
 /// Returns the factor by which work is slower than usual, as far as known.
--- a/src/decide/outcome.rs
+++ b/src/decide/call_ledger.rs
@@ -14,13 +14,13 @@
 
 /// What a repeat that finds a claim makes of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RowVerdict<'a> {
+pub enum ClaimVerdict<'a> {
     /// The key was used for another request.
-    OtherRequest,
+    KeyReused,
     /// The earlier call ran; this is its answer.
     Answered(&'a RecordedAnswer),
     /// Nobody will learn more.
-    Lost,
+    Unknown,
     /// The guard that holds the claim knows, or can still stop the call.
     AskGuard,
 }
@@ -28,14 +28,14 @@
 impl ClaimRow {
     /// Tells what a repeat of the request with this hash makes of the row.
     #[must_use]
-    pub fn verdict(&self, print: &str) -> RowVerdict<'_> {
+    pub fn verdict(&self, print: &str) -> ClaimVerdict<'_> {
         if self.print != print {
-            return RowVerdict::OtherRequest;
+            return ClaimVerdict::KeyReused;
         }
         match &self.state {
-            ClaimState::Answered(answer) => RowVerdict::Answered(answer),
-            ClaimState::Unknown => RowVerdict::Lost,
-            ClaimState::Started => RowVerdict::AskGuard,
+            ClaimState::Answered(answer) => ClaimVerdict::Answered(answer),
+            ClaimState::Unknown => ClaimVerdict::Unknown,
+            ClaimState::Started => ClaimVerdict::AskGuard,
         }
     }
 }
@@ -105,7 +105,7 @@
     ///
     /// Its status is asked for by an entry that did not get the answer, until the
     /// deadline; to keep each call for longer would fill the memory.
-    pub fn release(
+    pub fn finish_repeatable(
         &mut self,
         now: MicroTime,
         call: CallId,
--- a/src/decide/clock_lead.rs
+++ b/src/decide/clock_offset.rs
@@ -19,12 +19,12 @@
 /// Invariant: never more than the true lead, as long as clocks part no faster
 /// than [`DRIFT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct ClockLead {
+pub struct ClockOffset {
     lead_us: i64,
     noted: MicroTime,
 }
 
-impl ClockLead {
+impl ClockOffset {
     /// Takes the first message, sent at `told` by the other clock, come at `now`.
     #[must_use]
     pub const fn open(now: MicroTime, told: MicroTime) -> Self {
@@ -33,7 +33,7 @@
 
     /// Takes a further message; returns how much longer it was on its way than the
     /// fastest one.
-    pub fn note(&mut self, now: MicroTime, told: MicroTime) -> MicroTime {
+    pub fn update(&mut self, now: MicroTime, told: MicroTime) -> MicroTime {
         let newest = Self::open(now, told);
         let known = self.lead_at(now);
         if newest.lead_us >= known {
@@ -45,7 +45,7 @@
 
     /// Returns what the other clock shows at the least when the own one shows `now`.
     #[must_use]
-    pub fn theirs(&self, now: MicroTime) -> MicroTime {
+    pub fn remote_time(&self, now: MicroTime) -> MicroTime {
         MicroTime((now.0.cast_signed() + self.lead_at(now)).max(0) as u64)
     }
 
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -20,7 +20,7 @@
 /// Time over which begun calls are counted. It is longer than the second that the
 /// bound is of by the time that a call may take from here to its target, where the
 /// host's processor is taken away for a tenth of a second between the two.
-pub const COUNTED_OVER: MicroTime = MicroTime::from_millis(1_100);
+pub const COLD_RATE_WINDOW: MicroTime = MicroTime::from_millis(1_100);
 
 /// Calls that are kept back from the bound, for those that were begun by an earlier
 /// guard and are on their way.
@@ -54,7 +54,7 @@
 impl ColdTerms {
     /// Returns the most calls in any second for a target that bears `per_s`.
     #[must_use]
-    pub fn bound(&self, per_s: f64) -> u32 {
+    pub fn max_rate(&self, per_s: f64) -> u32 {
         (per_s * self.over + self.slack) as u32
     }
 }
@@ -84,19 +84,19 @@
 /// Lets calls begin at one target, as few as it bears while it is cold.
 ///
 /// Invariant: while the target counts as cold and a bound is set, no more than
-/// `bound - 2` calls begin in any [`COUNTED_OVER`], but at least one may.
+/// `bound - 2` calls begin in any [`COLD_RATE_WINDOW`], but at least one may.
 #[derive(Clone, Debug, Serialize)]
-pub struct ColdGate {
+pub struct ColdStartLimit {
     /// Most calls in a second that a cold target bears; nothing where none is set.
     bound: Option<u32>,
     state: ColdState,
-    /// When calls began, the oldest first, within [`COUNTED_OVER`].
+    /// When calls began, the oldest first, within [`COLD_RATE_WINDOW`].
     begun: VecDeque<MicroTime>,
     /// Until then it is not known what an earlier guard began of late.
     blocked_until: MicroTime,
 }
 
-impl Default for ColdGate {
+impl Default for ColdStartLimit {
     fn default() -> Self {
         Self {
             bound: None,
@@ -107,16 +107,16 @@
     }
 }
 
-impl ColdGate {
+impl ColdStartLimit {
     /// Sets how many calls a cold target bears in a second.
-    pub fn set_bound(&mut self, bound: Option<u32>) {
+    pub fn set_max_rate(&mut self, bound: Option<u32>) {
         self.bound = bound;
     }
 
     /// Takes an earlier guard of this target to have begun all that it might have
     /// until `started`, when this one took over.
-    pub fn follow_predecessor(&mut self, started: MicroTime) {
-        self.blocked_until = started + COUNTED_OVER;
+    pub fn block_for_predecessor(&mut self, started: MicroTime) {
+        self.blocked_until = started + COLD_RATE_WINDOW;
     }
 
     /// Notes that a target which is cold for `lasts` after its start says at `now`, since
@@ -126,7 +126,7 @@
     /// Where it was cold already and turned so anew, an earlier guard may have begun
     /// calls in its first cold time: 11 and then 11 more in a second, where 13 are borne,
     /// by a guard that was killed between the two (the soak, seed 2101).
-    pub fn note_turn(&mut self, now: MicroTime, left: MicroTime, lasts: MicroTime) {
+    pub fn note_cold_start(&mut self, now: MicroTime, left: MicroTime, lasts: MicroTime) {
         let anew = |end: MicroTime| now < end && told_end(now, left) > end + SAME_TURN;
         let turned_before = matches!(self.state, ColdState::Until(end) if anew(end));
         if !turned_before && left <= lasts && lasts.since(left) < now + LEAST_RESTART {
@@ -135,13 +135,13 @@
     }
 
     /// Notes the target's own answer that it stays cold for `left`.
-    pub fn hear_answer(&mut self, now: MicroTime, left: MicroTime) {
+    pub fn note_health_answer(&mut self, now: MicroTime, left: MicroTime) {
         self.state = ColdState::Until(told_end(now, left));
     }
 
     /// Notes a heartbeat, which may be a late one: it can't say that a target is
     /// warm which was heard to be cold since.
-    pub fn hear_heartbeat(&mut self, now: MicroTime, left: MicroTime) {
+    pub fn note_heartbeat(&mut self, now: MicroTime, left: MicroTime) {
         let told = told_end(now, left);
         self.state = match self.state {
             ColdState::Until(known) => ColdState::Until(known.max(told)),
@@ -150,7 +150,7 @@
     }
 
     /// Takes the target for cold until it says otherwise: it may have started anew.
-    pub fn doubt(&mut self, now: MicroTime) {
+    pub fn assume_cold(&mut self, now: MicroTime) {
         self.state = ColdState::Doubted(now);
     }
 
@@ -162,12 +162,12 @@
 
     /// Tells whether nothing is known of the target's state.
     #[must_use]
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_assumed_cold(&self) -> bool {
         matches!(self.state, ColdState::Doubted(_))
     }
 
     /// Notes that a call begins now.
-    pub fn begin(&mut self, now: MicroTime) {
+    pub fn record_start(&mut self, now: MicroTime) {
         self.forget(now);
         self.begun.push_back(now);
     }
@@ -182,7 +182,7 @@
 
     /// Tells whether a call may begin now.
     #[must_use]
-    pub fn has_room(&self, now: MicroTime) -> bool {
+    pub fn may_start(&self, now: MicroTime) -> bool {
         self.wait_behind(now, 0) == MicroTime(0)
     }
 
@@ -190,7 +190,8 @@
     #[must_use]
     pub fn room(&self, now: MicroTime) -> Option<ColdRoom> {
         let most = self.most().filter(|_| self.is_cold(now))?;
-        let counted = self.begun.iter().filter(|begun| now.since(**begun) < COUNTED_OVER).count();
+        let counted =
+            self.begun.iter().filter(|begun| now.since(**begun) < COLD_RATE_WINDOW).count();
         let free = if now < self.blocked_until { 0 } else { most.saturating_sub(counted) };
         let next_ms = self.wait_behind(now, free).ceil_millis();
         Some(ColdRoom { now: free as u16, next_ms: next_ms.min(u64::from(u16::MAX)) as u16 })
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Returns the most calls that may begin within [`COUNTED_OVER`].
+    /// Returns the most calls that may begin within [`COLD_RATE_WINDOW`].
     fn most(&self) -> Option<usize> {
         self.bound.map(|bound| bound.saturating_sub(KEPT_BACK).max(1) as usize)
     }
@@ -215,12 +216,12 @@
         let rounds = ahead / most;
         let place = self.begun.len() + ahead % most;
         let first = place.checked_sub(most).and_then(|index| self.begun.get(index));
-        let first = first.map_or(now, |begun| (*begun + COUNTED_OVER).max(now));
-        first.max(self.blocked_until) + MicroTime(COUNTED_OVER.0 * rounds as u64)
+        let first = first.map_or(now, |begun| (*begun + COLD_RATE_WINDOW).max(now));
+        first.max(self.blocked_until) + MicroTime(COLD_RATE_WINDOW.0 * rounds as u64)
     }
 
     fn forget(&mut self, now: MicroTime) {
-        while self.begun.front().is_some_and(|begun| now.since(*begun) >= COUNTED_OVER) {
+        while self.begun.front().is_some_and(|begun| now.since(*begun) >= COLD_RATE_WINDOW) {
             self.begun.pop_front();
         }
     }
--- a/src/decide/pace.rs
+++ b/src/decide/commit_backoff.rs
@@ -19,15 +19,15 @@
 /// The pace of one daemon.
 ///
 /// Invariants: the wait stays within its bounds; each refusal doubles it;
-/// [`CommitPace::is_down`] holds only while nothing was accepted since.
+/// [`CommitBackoff::is_down`] holds only while nothing was accepted since.
 #[derive(Clone, Debug)]
-pub struct CommitPace {
+pub struct CommitBackoff {
     pause: MicroTime,
     accepted: u32,
     refused_since: Option<MicroTime>,
 }
 
-impl CommitPace {
+impl CommitBackoff {
     /// Opens the pace at its shortest wait.
     #[must_use]
     pub const fn open() -> Self {
@@ -36,12 +36,12 @@
 
     /// Returns the wait before the next transaction.
     #[must_use]
-    pub const fn pause(&self) -> MicroTime {
+    pub const fn delay(&self) -> MicroTime {
         self.pause
     }
 
     /// Notes that the table answered a transaction.
-    pub fn accept(&mut self) {
+    pub fn record_success(&mut self) {
         self.refused_since = None;
         self.accepted += 1;
         if self.accepted >= CALM {
@@ -59,7 +59,7 @@
     }
 
     /// Notes that the table refused a transaction, or can't be reached.
-    pub fn refuse(&mut self, now: MicroTime) {
+    pub fn record_failure(&mut self, now: MicroTime) {
         self.accepted = 0;
         self.refused_since.get_or_insert(now);
         self.pause = MicroTime(self.pause.0 * 2).min(PAUSE_BOUNDS.1);
--- a/src/decide/crash_book.rs
+++ b/src/decide/crash_suspects.rs
@@ -48,23 +48,23 @@
 /// are, and of those that crashed less often the oldest is forgotten first, so that a
 /// flood of suspects can't push out one that is blamed.
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct CrashSuspects {
     suspects: HashMap<RequestDigest, KnownSuspect>,
     /// Over the blamed ones; equal at daemons that blame the same requests.
     blamed_hash: u64,
 }
 
-impl CrashBook {
+impl CrashSuspects {
     /// Returns what is known of a request.
     #[must_use]
-    pub fn standing(&self, digest: RequestDigest) -> SuspectRecord {
+    pub fn record(&self, digest: RequestDigest) -> SuspectRecord {
         self.suspects.get(&digest).map(|known| known.record).unwrap_or_default()
     }
 
     /// Takes over what a notice says, if it says more than is known.
-    pub fn learn(&mut self, now: MicroTime, notice: SuspectNotice) -> NoticeEffect {
+    pub fn merge(&mut self, now: MicroTime, notice: SuspectNotice) -> NoticeEffect {
         let SuspectNotice { digest, record } = notice;
-        let before = self.standing(digest);
+        let before = self.record(digest);
         if record <= before {
             return if record < before { NoticeEffect::Outdated } else { NoticeEffect::Known };
         }
--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -114,7 +114,7 @@
     /// Returns the time until the present slow spell is expected to end; zero if there
     /// is none, or if it lasts longer than spells did.
     #[must_use]
-    pub fn spell_left(&self, now: MicroTime) -> MicroTime {
+    pub fn slow_period_left(&self, now: MicroTime) -> MicroTime {
         let Some(since) = self.spell_since else { return MicroTime(0) };
         MicroTime(self.spell_us as u64).since(now.since(since))
     }
@@ -143,7 +143,7 @@
     /// Estimates how long some work takes, the wait for a better moment included,
     /// in microseconds.
     #[must_use]
-    pub fn time_for(&self, work_us: f64) -> f64 {
+    pub fn expected_us(&self, work_us: f64) -> f64 {
         if self.is_worth_waiting(work_us) {
             return self.spell_us + work_us * self.best;
         }
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -55,7 +55,7 @@
     }
 
     /// Changes how long a heartbeat stays valid.
-    pub fn extend_to(&mut self, lasts: Duration) {
+    pub fn set_duration(&mut self, lasts: Duration) {
         self.lasts = lasts.into();
     }
 
@@ -64,7 +64,7 @@
     /// Its heartbeats would count for seconds, in which its guard takes calls, looks idle
     /// and refuses each: with three of four targets gone that were most of a service's
     /// calls, 41 of 61 in a second.
-    pub const fn lapse(&mut self) {
+    pub const fn mark_unreachable(&mut self) {
         self.lapsed = true;
     }
 
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -164,7 +164,7 @@
     }
 
     /// Begins and ends trials; `wanted` while calls wait for a slot.
-    pub fn pass(&mut self, now: MicroTime, wanted: bool) {
+    pub fn advance(&mut self, now: MicroTime, wanted: bool) {
         let lasted = now.since(self.turned);
         let may_begin = wanted && lasted >= TRIED_EVERY;
         let next = match self.turn {
@@ -206,7 +206,7 @@
     /// Notes an answered call: `beside` is the mean number of calls that ran
     /// while it did, itself included, and `stretch` how much longer its work took
     /// than usual.
-    pub fn note(&mut self, now: MicroTime, beside: f64, stretch: f64) {
+    pub fn record(&mut self, now: MicroTime, beside: f64, stretch: f64) {
         if !stretch.is_finite() || !beside.is_finite() {
             return;
         }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -6,19 +6,19 @@
 
 pub(crate) mod admission;
 pub(crate) mod benefit;
-pub(crate) mod clock_lead;
+pub(crate) mod call_ledger;
+pub(crate) mod clock_offset;
 pub(crate) mod cold_start;
-pub(crate) mod crash_book;
+pub(crate) mod commit_backoff;
+pub(crate) mod crash_suspects;
 pub(crate) mod host_speed;
 pub(crate) mod lease;
-pub(crate) mod life_order;
 pub(crate) mod limit;
-pub(crate) mod outcome;
-pub(crate) mod pace;
-pub(crate) mod probe;
+pub(crate) mod probe_budget;
 pub(crate) mod quota;
 pub(crate) mod registry;
-pub(crate) mod report_pace;
+pub(crate) mod report_pacer;
 pub(crate) mod retry;
-pub(crate) mod run_roster;
+pub(crate) mod running_requests;
 pub(crate) mod selection;
+pub(crate) mod target_incarnation;
--- a/src/decide/quota/stock.rs
+++ b/src/decide/quota/credit.rs
@@ -9,7 +9,7 @@
 /// Time for which an entry may use what it was granted.
 ///
 /// A window then sees at most what was granted in it and this much before it.
-pub const GRANT_LASTS: MicroTime = MicroTime::from_millis(100);
+pub const GRANT_LIFETIME: MicroTime = MicroTime::from_millis(100);
 
 /// Time for whose expected requests an entry asks at once.
 const ASK_AHEAD: MicroTime = MicroTime::from_millis(50);
@@ -25,18 +25,18 @@
 
 /// What an entry has to do about a request of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuotaStep {
+pub enum QuotaDecision {
     /// Let it through.
-    Pass,
+    Admit,
     /// Ask a holder for so many requests, this one included.
-    Ask(u16),
+    AskHolder(u16),
     /// Refuse it; there is room after so many milliseconds.
     Refuse(u32),
 }
 
 /// What an entry was granted of an account's quota and has not used.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct QuotaStock {
+pub struct QuotaCredit {
     /// When each grant lapses, and what is left of it; the oldest first.
     grants: VecDeque<(MicroTime, u16)>,
     /// Until when no holder is asked, since none had room, and what callers are told
@@ -48,27 +48,27 @@
     arrived: MicroTime,
 }
 
-impl QuotaStock {
+impl QuotaCredit {
     /// Takes a request that arrived.
-    pub fn arrive(&mut self, now: MicroTime) -> QuotaStep {
+    pub fn arrive(&mut self, now: MicroTime) -> QuotaDecision {
         let passed = now.since(self.arrived).duration().as_secs_f64();
         self.arrived = self.arrived.max(now);
         let weight = std::f64::consts::LN_2 / RATE_HALF_LIFE_S;
         self.rate = self.rate * (-passed / RATE_HALF_LIFE_S).exp2() + weight;
         if self.use_one(now) {
-            return QuotaStep::Pass;
+            return QuotaDecision::Admit;
         }
         if now < self.dry_until {
-            return QuotaStep::Refuse(self.dry_wait_ms);
+            return QuotaDecision::Refuse(self.dry_wait_ms);
         }
         let ahead = self.rate * ASK_AHEAD.duration().as_secs_f64();
-        QuotaStep::Ask((1 + ahead as u16).min(MAX_ASK))
+        QuotaDecision::AskHolder((1 + ahead as u16).min(MAX_ASK))
     }
 
     /// Notes what was granted to a question that was sent at `asked`.
-    pub fn grant(&mut self, asked: MicroTime, granted: u16) {
+    pub fn add_grant(&mut self, asked: MicroTime, granted: u16) {
         if granted > 0 {
-            self.grants.push_back((asked + GRANT_LASTS, granted));
+            self.grants.push_back((asked + GRANT_LIFETIME, granted));
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Notes that no holder has room.
-    pub fn run_dry(&mut self, now: MicroTime, wait_ms: u32) {
+    pub fn mark_exhausted(&mut self, now: MicroTime, wait_ms: u32) {
         self.dry_until = now + DRY_LASTS;
         self.dry_wait_ms = wait_ms;
     }
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -24,7 +24,7 @@
 
 impl FleetQuorum {
     /// Notes how many daemons are believed to be up.
-    fn note(&mut self, now: MicroTime, up: usize) {
+    fn update(&mut self, now: MicroTime, up: usize) {
         let passed = now.since(self.updated).duration().as_secs_f64();
         self.updated = self.updated.max(now);
         self.size = (self.size * (-passed / SIZE_HALF_LIFE_S).exp2()).max(up as f64);
@@ -51,18 +51,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderChange {
     /// It holds a part of an account's quota from now on.
-    Took(AccountName),
+    Acquired(AccountName),
     /// The quota is another one.
-    Adopted(AccountName),
+    Updated(AccountName),
     /// It holds no part of it any more.
-    GaveUp(AccountName),
+    Released(AccountName),
 }
 
 impl QuotaHolder {
     /// Finds out which quotas are held here, as the fleet and the configuration are now.
     ///
     /// `up` are the hosts that are believed to be up, `own` among them.
-    pub fn adopt<'a>(
+    pub fn update<'a>(
         &mut self,
         now: MicroTime,
         own: &HostName,
@@ -70,7 +70,7 @@
         quotas: impl Iterator<Item = (&'a AccountName, AccountQuota)>,
         terms: QuotaTerms,
     ) -> Vec<HolderChange> {
-        self.quorum.note(now, up.len());
+        self.quorum.update(now, up.len());
         let mut before = std::mem::take(&mut self.windows);
         let mut changes = Vec::new();
         let quotas = quotas.filter(|_| self.quorum.holds());
@@ -81,28 +81,28 @@
             }
             let window = before.remove(account);
             let mut window = window.unwrap_or_else(|| {
-                changes.push(HolderChange::Took(account.clone()));
+                changes.push(HolderChange::Acquired(account.clone()));
                 QuotaWindow::open(now, quota, terms)
             });
-            if window.adopt(quota, terms) {
-                changes.push(HolderChange::Adopted(account.clone()));
+            if window.update(quota, terms) {
+                changes.push(HolderChange::Updated(account.clone()));
             }
             self.windows.insert(account.clone(), window);
         }
-        changes.extend(before.into_keys().map(HolderChange::GaveUp));
+        changes.extend(before.into_keys().map(HolderChange::Released));
         changes
     }
 
     /// Grants up to `want` requests of an account; nothing if its quota is not held here.
     ///
     /// `settled` tells whether the entry that asks has run for a window or more.
-    pub fn take(
+    pub fn grant(
         &mut self,
         now: MicroTime,
         account: &AccountName,
         want: u16,
         settled: bool,
     ) -> Option<QuotaGrant> {
-        Some(self.windows.get_mut(account)?.take(now, want, settled))
+        Some(self.windows.get_mut(account)?.grant(now, want, settled))
     }
 }
--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -3,11 +3,11 @@
 //! Pure. Answers load of one account that is far above its quota, at one entry or at all
 //! of them, while hosts die, are cut off and start anew. A few daemons hold the quota of
 //! an account, each a fixed part of it (`holder`, `window`), and grant it to the entries
-//! that ask (`stock`). What a holder that died had is not given to another before the
+//! that ask (`credit`). What a holder that died had is not given to another before the
 //! fleet takes it for dead, so that no cut and no restart gives out a part twice.
 
+mod credit;
 mod holder;
-mod stock;
 mod window;
 
 use serde::{Deserialize, Serialize};
@@ -15,8 +15,8 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, HostName};
 
+pub use credit::{GRANT_LIFETIME, QuotaCredit, QuotaDecision};
 pub use holder::{HolderChange, QuotaHolder};
-pub use stock::{GRANT_LASTS, QuotaStep, QuotaStock};
 pub use window::{QuotaGrant, QuotaWindow};
 
 /// Daemons that hold the quota of one account, at most: the loss of one leaves three
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AccountQuota, GRANT_LASTS, QuotaTerms};
+use super::{AccountQuota, GRANT_LIFETIME, QuotaTerms};
 use crate::base::clock::MicroTime;
 
 /// Longest time that a refused caller is told to stay away.
@@ -61,7 +61,7 @@
     }
 
     /// Takes over the quota as it is now; `true` if it changed.
-    pub fn adopt(&mut self, quota: AccountQuota, terms: QuotaTerms) -> bool {
+    pub fn update(&mut self, quota: AccountQuota, terms: QuotaTerms) -> bool {
         let limit = quota.in_window(terms) / quota.holders(terms) as f64;
         let changed = (limit, terms.window) != (self.limit, self.span);
         (self.limit, self.span) = (limit, terms.window);
@@ -70,7 +70,7 @@
 
     /// Grants up to `want` requests to an entry; `settled` tells whether that has run for a
     /// window or more.
-    pub fn take(&mut self, now: MicroTime, want: u16, settled: bool) -> QuotaGrant {
+    pub fn grant(&mut self, now: MicroTime, want: u16, settled: bool) -> QuotaGrant {
         if settled {
             self.count_used_at_once();
         }
@@ -93,7 +93,7 @@
         if !std::mem::replace(&mut self.fresh, false) {
             return;
         }
-        let last = self.opened + self.span + GRANT_LASTS;
+        let last = self.opened + self.span + GRANT_LIFETIME;
         for (leaves, _) in &mut self.slots {
             *leaves = (*leaves).max(last);
         }
@@ -102,7 +102,7 @@
     fn note(&mut self, now: MicroTime, granted: f64) {
         self.granted += granted;
         // A slot leaves when the last request does that may have used a grant of it.
-        let least = now + self.span + GRANT_LASTS;
+        let least = now + self.span + GRANT_LIFETIME;
         match self.slots.back_mut() {
             Some((leaves, count)) if *leaves >= least => *count += granted,
             _ => {
--- a/src/decide/registry.rs
+++ b/src/decide/registry.rs
@@ -13,7 +13,7 @@
 use crate::base::member::FleetView;
 use crate::decide::benefit;
 use crate::decide::selection::{
-    CallOutlook, SelectionInput, SelectionPolicy, TargetPlace, TargetRecord,
+    CallEstimate, SelectionInput, SelectionPolicy, TargetLocation, TargetRecord,
 };
 
 /// The targets of one service as an entry sees them.
@@ -39,7 +39,7 @@
         tried: &[TargetName],
         rng: &mut Pcg64Mcg,
     ) -> Option<usize> {
-        self.choose_for(now, policy, tried, &CallOutlook::default(), rng)
+        self.choose_for(now, policy, tried, &CallEstimate::default(), rng)
     }
 
     /// Chooses as [`Self::choose`] does, for a call that something is known of.
@@ -48,7 +48,7 @@
         now: MicroTime,
         policy: &SelectionPolicy,
         tried: &[TargetName],
-        outlook: &CallOutlook,
+        estimate: &CallEstimate,
         rng: &mut Pcg64Mcg,
     ) -> Option<usize> {
         let untried = |&index: &usize| !tried.contains(&self.targets[index].name);
@@ -67,7 +67,7 @@
             targets: &self.targets,
             eligible: &eligible,
             turn: self.turn,
-            outlook,
+            estimate,
         };
         let index = (policy.choose)(&input, rng);
         self.targets[index].outstanding += 1;
@@ -77,15 +77,15 @@
     /// Chooses for a request that may end the target that runs it: the one that every
     /// entry chooses, of those that would serve it in time, so that several copies at
     /// once end one target and not one each. Nothing where none would.
-    pub fn choose_shared(
+    pub fn choose_by_digest(
         &mut self,
         now: MicroTime,
         digest: RequestDigest,
         tried: &[TargetName],
-        outlook: &CallOutlook,
+        estimate: &CallEstimate,
     ) -> Option<usize> {
         let fits = |target: &TargetRecord| {
-            !tried.contains(&target.name) && benefit::is_promising(target, now, outlook)
+            !tried.contains(&target.name) && benefit::is_promising(target, now, estimate)
         };
         let order = |target: &TargetRecord| {
             RequestDigest::of(&[&digest.0.to_le_bytes(), target.name.as_str().as_bytes()])
@@ -118,7 +118,7 @@
     /// Takes over who is there, keeping what is known of those that stay.
     ///
     /// `centre` is the entry's own data centre; those in `evacuated` have no targets.
-    pub fn adopt(
+    pub fn update(
         &mut self,
         now: MicroTime,
         view: &FleetView,
@@ -127,7 +127,7 @@
     ) {
         let mut fresh: HashMap<ServiceName, ServiceTargets> = HashMap::new();
         for member in view.serving().filter(|member| !evacuated.contains(&member.data_centre)) {
-            let place = TargetPlace {
+            let place = TargetLocation {
                 host: member.host.clone(),
                 data_centre: member.data_centre.clone(),
                 incarnation: member.incarnation,
@@ -139,7 +139,7 @@
                     TargetRecord::new(target.name.clone(), Some(place.clone()), target.slots, now)
                 };
                 let mut record = known.unwrap_or_else(joins);
-                record.far = member.data_centre != *centre;
+                record.remote = member.data_centre != *centre;
                 record.suspect = member.is_suspect();
                 fresh.entry(target.service.clone()).or_default().targets.push(record);
             }
@@ -151,11 +151,11 @@
         &mut self,
         service: &ServiceName,
         name: &TargetName,
-        place: &TargetPlace,
+        place: &TargetLocation,
     ) -> Option<TargetRecord> {
         let targets = &mut self.services.get_mut(service)?.targets;
         let same =
-            |target: &TargetRecord| target.name == *name && target.place.as_ref() == Some(place);
+            |target: &TargetRecord| target.name == *name && target.location.as_ref() == Some(place);
         let index = targets.iter().position(same)?;
         Some(targets.swap_remove(index))
     }
--- a/src/decide/report_pace.rs
+++ b/src/decide/report_pacer.rs
@@ -14,13 +14,13 @@
 /// Invariant: over any time, no more bytes are granted than the rate allows in it and
 /// one report to all.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct ReportPace {
+pub struct ReportPacer {
     bytes_per_s: u32,
     /// When the next report may go out.
     next: MicroTime,
 }
 
-impl ReportPace {
+impl ReportPacer {
     /// Opens the pace of so many bytes in a second.
     #[must_use]
     pub const fn open(bytes_per_s: u32) -> Self {
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -48,12 +48,12 @@
     }
 
     /// Notes a call that was answered.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.earned).min(self.saved);
     }
 
     /// Takes one try, if the budget has one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let granted = self.tokens >= 1.0;
         if granted {
             self.tokens -= 1.0;
@@ -70,17 +70,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
     /// Tries earned by one answered call.
-    pub earned: f64,
+    pub tokens_per_success: f64,
     /// Tries that all daemons together may save up.
-    pub saved: f64,
-    /// Whether `saved` is divided among the daemons.
+    pub max_tokens: f64,
+    /// Whether `max_tokens` is divided among the daemons.
     pub divided: bool,
 }
 
 impl Default for RetryShare {
     /// Returns the share of a daemon whose deployment sets no bound.
     fn default() -> Self {
-        Self { earned: RETRIES.0, saved: RETRIES.1, divided: false }
+        Self { tokens_per_success: RETRIES.0, max_tokens: RETRIES.1, divided: false }
     }
 }
 
@@ -89,7 +89,7 @@
     #[must_use]
     pub fn open(&self, daemons: usize) -> RetryBudget {
         let parts = if self.divided { daemons.max(1) as f64 } else { 1.0 };
-        RetryBudget::with_rates((self.earned, (self.saved / parts).max(1.0)))
+        RetryBudget::with_rates((self.tokens_per_success, (self.max_tokens / parts).max(1.0)))
     }
 }
 
@@ -101,7 +101,7 @@
 
 /// How one try of a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptResult {
     /// A target answered, whatever it said.
     Answered,
     /// The call was not sent to the target.
@@ -118,15 +118,15 @@
 
 /// What to do after a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NextStep {
+pub enum RetryDecision {
     /// Give the caller the target's answer.
     Deliver,
     /// Try another target.
-    TryAgain,
+    Retry,
     /// Tell the caller that the call did not run.
-    TellNotRun,
+    ReportNotRun,
     /// Tell the caller that the call may have run.
-    TellUnknown,
+    ReportUnknown,
 }
 
 /// The course of one call over its tries.
@@ -136,7 +136,7 @@
 /// try it never says `TellNotRun`, and a call that must not repeat is not tried
 /// again.
 #[derive(Clone, Debug)]
-pub struct CallCourse {
+pub struct CallAttempts {
     repeatable: bool,
     attempts: u32,
     tries: u32,
@@ -145,7 +145,7 @@
     lost: bool,
 }
 
-impl CallCourse {
+impl CallAttempts {
     /// Opens the course of a call.
     #[must_use]
     pub const fn open(repeatable: bool, attempts: u32) -> Self {
@@ -153,55 +153,62 @@
     }
 
     /// Takes the end of a try; `in_time` tells whether the deadline is ahead.
-    pub fn step(&mut self, end: TryEnd, in_time: bool, budget: &mut RetryBudget) -> NextStep {
+    pub fn record(
+        &mut self,
+        end: AttemptResult,
+        in_time: bool,
+        budget: &mut RetryBudget,
+    ) -> RetryDecision {
         self.tries += 1;
         let more = in_time && self.tries < MAX_ATTEMPTS;
         match end {
-            TryEnd::Answered => {
-                budget.succeed();
-                return NextStep::Deliver;
+            AttemptResult::Answered => {
+                budget.record_success();
+                return RetryDecision::Deliver;
             }
-            TryEnd::Refused | TryEnd::TakeOver if more => return NextStep::TryAgain,
-            TryEnd::Refused | TryEnd::TakeOver => {}
-            TryEnd::Declined => {
+            AttemptResult::Refused | AttemptResult::TakeOver if more => {
+                return RetryDecision::Retry;
+            }
+            AttemptResult::Refused | AttemptResult::TakeOver => {}
+            AttemptResult::Declined => {
                 self.reached += 1;
-                if more && self.reached < self.attempts && budget.take() {
-                    return NextStep::TryAgain;
+                if more && self.reached < self.attempts && budget.try_take() {
+                    return RetryDecision::Retry;
                 }
             }
-            TryEnd::Lost | TryEnd::Failed => {
+            AttemptResult::Lost | AttemptResult::Failed => {
                 self.lost = true;
                 self.reached += 1;
                 let again = more && self.repeatable && self.reached < self.attempts;
-                if again && budget.take() {
-                    return NextStep::TryAgain;
+                if again && budget.try_take() {
+                    return RetryDecision::Retry;
                 }
             }
         }
-        self.give_up()
+        self.failure_decision()
     }
 
     /// Tells whether a try beside the present one may reach a target; the present
     /// one has not ended, so it is not counted yet.
     #[must_use]
-    pub const fn may_try_beside(&self) -> bool {
+    pub const fn may_hedge(&self) -> bool {
         self.repeatable && self.reached + 1 < self.attempts
     }
 
     /// Counts a try beside the present one.
-    pub const fn try_beside(&mut self) {
+    pub const fn count_hedge(&mut self) {
         self.reached += 1;
     }
 
     /// Tells whether no try may follow the next one.
     #[must_use]
-    pub const fn is_last_try(&self) -> bool {
+    pub const fn is_last_attempt(&self) -> bool {
         self.tries + 1 >= MAX_ATTEMPTS
     }
 
     /// Returns what to tell when no target is left to try.
     #[must_use]
-    pub const fn give_up(&self) -> NextStep {
-        if self.lost { NextStep::TellUnknown } else { NextStep::TellNotRun }
+    pub const fn failure_decision(&self) -> RetryDecision {
+        if self.lost { RetryDecision::ReportUnknown } else { RetryDecision::ReportNotRun }
     }
 }
--- a/src/decide/run_roster.rs
+++ b/src/decide/running_requests.rs
@@ -19,24 +19,24 @@
 
 /// One run, and what was known of its request when it began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TrackedRun {
+pub struct TrackedRequest {
     /// The request.
     pub digest: RequestDigest,
     /// What was known of it then.
-    pub began_with: SuspectRecord,
+    pub record_at_start: SuspectRecord,
 }
 
 /// The runs of one life of a target.
 #[derive(Clone, Debug, Default)]
-pub struct RunRoster {
-    running: HashMap<CallId, TrackedRun>,
+pub struct RunningRequests {
+    running: HashMap<CallId, TrackedRequest>,
     /// Runs that were given up without an answer, the newest last.
-    left: VecDeque<(MicroTime, TrackedRun)>,
+    left: VecDeque<(MicroTime, TrackedRequest)>,
 }
 
-impl RunRoster {
+impl RunningRequests {
     /// Notes that a call begins to run.
-    pub fn begin(&mut self, call: CallId, run: TrackedRun) {
+    pub fn start(&mut self, call: CallId, run: TrackedRequest) {
         self.running.insert(call, run);
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Notes that a call was given up without an answer; it may run on.
-    pub fn leave(&mut self, now: MicroTime, call: CallId) {
+    pub fn abandon(&mut self, now: MicroTime, call: CallId) {
         let Some(run) = self.running.remove(&call) else { return };
         self.left.push_back((now, run));
         if self.left.len() > MAX_LEFT {
@@ -56,12 +56,12 @@
 
     /// Takes the end of the target's life; returns what is known now of each request
     /// that may have ended it.
-    pub fn end(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
+    pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
         let late = self.left.drain(..).filter(|(at, _)| now.since(*at) < GOES_ON_FOR);
         let runs = self.running.drain().map(|(_, run)| run).chain(late.map(|(_, run)| run));
         let mut greatest: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
         for run in runs {
-            let record = run.began_with.after_crash();
+            let record = run.record_at_start.after_crash();
             let known = greatest.entry(run.digest).or_default();
             *known = record.max(*known);
         }
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -10,7 +10,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{CentreName, DaemonIncarnation, HostName, TargetName};
 use crate::base::wire::LoadReport;
-use crate::decide::clock_lead::ClockLead;
+use crate::decide::clock_offset::ClockOffset;
 
 /// Name of the policy of a template that names none.
 pub const DEFAULT_POLICY: &str = "expected_completion";
@@ -57,7 +57,7 @@
 
 /// Where a target is, and whose.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct TargetPlace {
+pub struct TargetLocation {
     /// Its host.
     pub host: HostName,
     /// The host's data centre.
@@ -74,15 +74,18 @@
     /// The target's name.
     pub name: TargetName,
     /// Where it is; nothing in a bench.
-    pub place: Option<TargetPlace>,
+    #[serde(rename = "place")]
+    pub location: Option<TargetLocation>,
     /// Calls this entry has under way there. Exact.
     pub outstanding: u32,
     /// The newest load report.
     pub load: LoadReport,
     /// When that report came; zero if none came yet.
-    pub heard: MicroTime,
+    #[serde(rename = "heard")]
+    pub reported_at: MicroTime,
     /// Own calls under way when that report came.
-    pub outstanding_then: u32,
+    #[serde(rename = "outstanding_then")]
+    pub outstanding_at_report: u32,
     /// Smoothed latency of this entry's calls, in microseconds.
     pub latency_us: f64,
     /// Failures in a row.
@@ -94,11 +97,13 @@
     /// When the target joined, for its slow start.
     pub joined: MicroTime,
     /// Whether its host is in another data centre than the entry's.
-    pub far: bool,
+    #[serde(rename = "far")]
+    pub remote: bool,
     /// Whether its guard tells this entry each change of its load.
     pub watched: bool,
     /// The lead of its guard's clock; nothing before the first report.
-    pub clock_lead: Option<ClockLead>,
+    #[serde(rename = "clock_lead")]
+    pub clock_offset: Option<ClockOffset>,
 }
 
 impl TargetRecord {
@@ -106,39 +111,39 @@
     #[must_use]
     pub fn new(
         name: TargetName,
-        place: Option<TargetPlace>,
+        location: Option<TargetLocation>,
         slots: u16,
         joined: MicroTime,
     ) -> Self {
         Self {
             name,
-            place,
+            location,
             outstanding: 0,
             load: LoadReport { slots, ..LoadReport::default() },
-            heard: MicroTime(0),
-            outstanding_then: 0,
+            reported_at: MicroTime(0),
+            outstanding_at_report: 0,
             latency_us: 0.0,
             failures: 0,
             ejected_until: MicroTime(0),
             suspect: false,
             joined,
-            far: false,
+            remote: false,
             watched: false,
-            clock_lead: None,
+            clock_offset: None,
         }
     }
 
     /// Notes a load report, unless a newer one is known.
-    pub fn hear(&mut self, now: MicroTime, load: LoadReport) {
+    pub fn record_report(&mut self, now: MicroTime, load: LoadReport) {
         if load.sequence <= self.load.sequence {
             return;
         }
-        let clock = self.clock_lead.get_or_insert_with(|| ClockLead::open(now, load.told));
-        let held_up = clock.note(now, load.told);
+        let clock = self.clock_offset.get_or_insert_with(|| ClockOffset::open(now, load.told));
+        let held_up = clock.update(now, load.told);
         self.load = load;
         // Held up on its way, a report is as old as that.
-        self.heard = now - held_up;
-        self.outstanding_then = self.outstanding;
+        self.reported_at = now - held_up;
+        self.outstanding_at_report = self.outstanding;
     }
 
     /// Notes how a call of this entry ended; `latency` only if it was answered.
@@ -157,7 +162,7 @@
     }
 
     /// Leaves a target alone at once whose guard can't be reached.
-    pub fn lose_contact(&mut self, now: MicroTime) {
+    pub fn eject(&mut self, now: MicroTime) {
         self.failures = self.failures.max(EJECT_AFTER - 1);
         self.fail(now);
     }
@@ -165,7 +170,7 @@
     /// Tells whether it is left alone while there are others: its calls failed here,
     /// or the fleet doubts its host and nothing was heard of it here for a while.
     pub(crate) fn is_avoided(&self, now: MicroTime) -> bool {
-        let silent = now.since(self.heard) >= HEARD_LATELY;
+        let silent = now.since(self.reported_at) >= HEARD_LATELY;
         self.ejected_until > now || (self.suspect && silent)
     }
 
@@ -189,9 +194,9 @@
     /// Estimates how many calls a call sent now would find there: the own ones,
     /// and of the others what was told, halved every `half_life_us` since.
     pub(crate) fn ahead(&self, now: MicroTime, half_life_us: f64) -> f64 {
-        let age = now.since(self.heard).0 as f64;
+        let age = now.since(self.reported_at).0 as f64;
         let told = f64::from(self.load.in_flight + self.load.queued);
-        let others = (told - f64::from(self.outstanding_then)).max(0.0);
+        let others = (told - f64::from(self.outstanding_at_report)).max(0.0);
         others * half_life(age, half_life_us) + f64::from(self.outstanding)
     }
 
@@ -201,7 +206,7 @@
     /// ago is hoped to beat the best by now, or it would never be tried again.
     fn expected_us(&self, now: MicroTime, best_us: f64) -> f64 {
         let slots = f64::from(self.load.slots.max(1));
-        let age = now.since(self.heard).0 as f64;
+        let age = now.since(self.reported_at).0 as f64;
         let known = half_life(age, SERVICE_HALF_LIFE_US);
         let hoped = PRIOR_PART * best_us;
         let service = hoped + (self.service_us() - hoped) * known;
@@ -217,7 +222,7 @@
 
 /// What an entry knows of a call before it chooses a target.
 #[derive(Clone, Copy, Debug)]
-pub struct CallOutlook {
+pub struct CallEstimate {
     /// Time a target at its usual speed takes, in microseconds; zero if unknown.
     pub work_us: f64,
     /// Time left to the latency objective, in microseconds.
@@ -227,7 +232,7 @@
     pub crossing_cost: f64,
 }
 
-impl Default for CallOutlook {
+impl Default for CallEstimate {
     fn default() -> Self {
         Self { work_us: 0.0, objective_us: 1_000_000.0, crossing_cost: 0.0 }
     }
@@ -245,7 +250,7 @@
     /// Calls chosen so far, for policies that take turns.
     pub turn: usize,
     /// What is known of the call.
-    pub outlook: &'a CallOutlook,
+    pub estimate: &'a CallEstimate,
 }
 
 /// One way to choose, as plug-ins register it.
--- a/src/decide/life_order.rs
+++ b/src/decide/target_incarnation.rs
@@ -8,13 +8,13 @@
 
 /// What a heartbeat says of a target's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeChange {
+pub enum HeartbeatVerdict {
     /// It is late, or of an earlier life: nothing follows from it.
-    Late,
+    Stale,
     /// It is of the life that is known.
-    Present,
+    Current,
     /// The target started again: it holds and knows nothing of before.
-    Anew,
+    Restarted,
 }
 
 /// The newest life of one target, as far as it was heard of.
@@ -22,7 +22,7 @@
 /// Invariants: `born` never falls; what is of an earlier life, or came late, never
 /// changes anything; an ended life never becomes present again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// When it was born, in milliseconds by the target's clock, where it tells.
     born: Option<u64>,
     /// The greatest number of its heartbeats; zero before the first.
@@ -30,7 +30,7 @@
     ended: bool,
 }
 
-impl TargetLife {
+impl TargetIncarnation {
     /// Opens the life that a first heartbeat, or an answer, told of.
     #[must_use]
     pub const fn open(born: Option<u64>, sequence: u64) -> Self {
@@ -38,23 +38,23 @@
     }
 
     /// Takes a heartbeat; one without a number is always of the present life.
-    pub fn hear(&mut self, born: Option<u64>, sequence: Option<u64>) -> LifeChange {
+    pub fn note_heartbeat(&mut self, born: Option<u64>, sequence: Option<u64>) -> HeartbeatVerdict {
         match (self.born, born) {
             (Some(known), Some(told)) if told > known => {
                 *self = Self::open(born, sequence.unwrap_or_default());
-                return LifeChange::Anew;
+                return HeartbeatVerdict::Restarted;
             }
-            (Some(known), Some(told)) if told < known => return LifeChange::Late,
+            (Some(known), Some(told)) if told < known => return HeartbeatVerdict::Stale,
             // Who told its birth once tells it always: this is another writer.
-            (Some(_known), None) => return LifeChange::Late,
+            (Some(_known), None) => return HeartbeatVerdict::Stale,
             _ => {}
         }
         if self.ended || sequence.is_some_and(|sequence| sequence <= self.sequence) {
-            return LifeChange::Late;
+            return HeartbeatVerdict::Stale;
         }
         self.born = born;
         self.sequence = sequence.unwrap_or_default();
-        LifeChange::Present
+        HeartbeatVerdict::Current
     }
 
     /// Takes the end of a life; `false` if it was an earlier one.
@@ -71,7 +71,7 @@
 
     /// Tells whether a life was born before another one, where both tell.
     #[must_use]
-    pub const fn is_before(&self, other: &Self) -> bool {
+    pub const fn is_older_than(&self, other: &Self) -> bool {
         match (self.born, other.born) {
             (Some(own), Some(other)) => own < other,
             _ => false,
--- a/src/durable/commits.rs
+++ b/src/durable/commits.rs
@@ -21,7 +21,7 @@
                 continue;
             }
             self.commit_batch(batch).await;
-            let pause = self.pace.borrow().pause();
+            let pause = self.pace.borrow().delay();
             tokio::time::sleep(pause.duration()).await;
         }
     }
@@ -70,12 +70,12 @@
             self.metrics.claims.with_label_values(&["writes"]).inc_by(batch.len() as u64);
             batch = match reply {
                 Ok(reply) => {
-                    self.pace.borrow_mut().accept();
+                    self.pace.borrow_mut().record_success();
                     self.sort_out(batch, &reply)
                 }
                 Err(PlatformError::Lost { .. }) => return self.read_back(batch).await,
                 Err(_down) => {
-                    self.pace.borrow_mut().refuse(self.clock.now());
+                    self.pace.borrow_mut().record_failure(self.clock.now());
                     return self.put_back(batch);
                 }
             };
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -21,7 +21,7 @@
 use crate::base::evacuation::EvacuationNotice;
 use crate::base::member::MemberRecord;
 use crate::base::metrics::DaemonMetrics;
-use crate::decide::pace::CommitPace;
+use crate::decide::commit_backoff::CommitBackoff;
 use crate::duty::events::{AdminEvent, EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::ring::{RingInbox, RingSender};
 use crate::rules::revision::RevisionState;
@@ -57,7 +57,7 @@
     evacuation: RefCell<EvacuationNotice>,
     pending: RefCell<VecDeque<PendingWrite>>,
     pending_wake: Notify,
-    pace: RefCell<CommitPace>,
+    pace: RefCell<CommitBackoff>,
     clock: ProcessClock,
     poll_wake: Notify,
     /// Whether this daemon follows the store for the fleet.
@@ -97,7 +97,7 @@
         evacuation: RefCell::default(),
         pending: RefCell::default(),
         pending_wake: Notify::new(),
-        pace: RefCell::new(CommitPace::open()),
+        pace: RefCell::new(CommitBackoff::open()),
         clock: ProcessClock::open(),
         poll_wake: Notify::new(),
         following: watch::Sender::new(false),
@@ -156,7 +156,7 @@
             "missing": revisions.missing(),
             "evacuation": *self.evacuation.borrow(),
             "writes_waiting": self.pending.borrow().len(),
-            "write_pause_ms": self.pace.borrow().pause().0 as f64 / 1_000.0,
+            "write_pause_ms": self.pace.borrow().delay().0 as f64 / 1_000.0,
             "platform_down": self.pace.borrow().is_down(self.clock.now()),
             "fleet_size": *self.fleet_size.borrow(),
         })
--- a/src/fleet/membership/suspicion.rs
+++ b/src/fleet/membership/suspicion.rs
@@ -21,7 +21,7 @@
 use crate::base::digest::RequestDigest;
 use crate::base::member::{GossipKind, GossipMessage};
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
-use crate::decide::crash_book::{CrashBook, NoticeEffect};
+use crate::decide::crash_suspects::{CrashSuspects, NoticeEffect};
 
 /// Bytes of one notice in a datagram, at the most: a digest and two numbers.
 pub(super) const NOTICE_BYTES: usize = 24;
@@ -46,7 +46,7 @@
 /// The suspected requests, and how often each was told.
 #[derive(Debug, Default)]
 pub(super) struct SuspicionUpdates {
-    book: CrashBook,
+    book: CrashSuspects,
     sent: HashMap<RequestDigest, u32>,
     next_answer: MicroTime,
 }
@@ -57,7 +57,7 @@
     }
 
     fn learn(&mut self, now: MicroTime, notice: SuspectNotice) -> bool {
-        let effect = self.book.learn(now, notice);
+        let effect = self.book.merge(now, notice);
         match effect {
             NoticeEffect::New => _ = self.sent.insert(notice.digest, 0),
             NoticeEffect::Known => {
@@ -76,18 +76,18 @@
         let limit = spread_limit(fleet);
         let book = &self.book;
         self.sent.retain(|digest, sent| {
-            *sent < limit && book.standing(*digest) != SuspectRecord::default()
+            *sent < limit && book.record(*digest) != SuspectRecord::default()
         });
         let mut order: Vec<(Reverse<u8>, u32, RequestDigest)> = self
             .sent
             .iter()
-            .map(|(digest, sent)| (Reverse(book.standing(*digest).crashes), *sent, *digest))
+            .map(|(digest, sent)| (Reverse(book.record(*digest).crashes), *sent, *digest))
             .collect();
         order.sort_unstable();
         let mut notices = Vec::new();
         for (_, sent, digest) in order.into_iter().take(CARRIED) {
             self.sent.insert(digest, sent + 1);
-            notices.push(SuspectNotice { digest, record: self.book.standing(digest) });
+            notices.push(SuspectNotice { digest, record: self.book.record(digest) });
         }
         notices
     }
@@ -96,7 +96,7 @@
 impl MembershipState {
     /// Returns what is known of suspected requests.
     #[must_use]
-    pub const fn suspects(&self) -> &CrashBook {
+    pub const fn suspects(&self) -> &CrashSuspects {
         &self.suspicions.book
     }
 
--- a/src/fleet/peers/suspects.rs
+++ b/src/fleet/peers/suspects.rs
@@ -56,7 +56,7 @@
 
     /// Lets a request through again; `false` if nothing was known of it.
     pub(super) fn forgive(self: &Rc<Self>, digest: RequestDigest) -> bool {
-        let record = self.membership.borrow().suspects().standing(digest);
+        let record = self.membership.borrow().suspects().record(digest);
         if !record.is_suspected() {
             return false;
         }
@@ -69,7 +69,7 @@
     /// Has the store keep that a request is blamed, or no longer: all daemons may lose
     /// power at once, and no host has a disk.
     fn keep_blame(&self, notice: SuspectNotice) {
-        let before = self.membership.borrow().suspects().standing(notice.digest);
+        let before = self.membership.borrow().suspects().record(notice.digest);
         let blamed = notice.record.is_blamed();
         if notice.record <= before || blamed == before.is_blamed() {
             return;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,9 +19,9 @@
 //!     share: 1,
 //!     priority: CallPriority { urgent: true, worth: 9 },
 //!     deadline: MicroTime::from_millis(100),
-//!     give_up: MicroTime::from_millis(100),
+//!     queue_deadline: MicroTime::from_millis(100),
 //!     work_us: 0,
-//!     last: true,
+//!     last_target: true,
 //! };
 //! queue.step(MicroTime(0), AdmissionEvent::Arrive(call), &mut actions);
 //! assert_eq!(actions, [AdmissionAction::Start(CallId(7))]);
@@ -67,28 +67,30 @@
 pub use command::targets::render_targets;
 pub use decide::admission::{AdmissionAction, AdmissionEvent, AdmissionQueue, WaitingCall};
 pub use decide::benefit::BENEFIT_POLICY;
-pub use decide::clock_lead::ClockLead;
-pub use decide::cold_start::{COUNTED_OVER, ColdGate, ColdTerms};
-pub use decide::crash_book::{CrashBook, MAX_SUSPECTS, NoticeEffect};
+pub use decide::call_ledger::{CallLedger, ClaimVerdict};
+pub use decide::clock_offset::ClockOffset;
+pub use decide::cold_start::{COLD_RATE_WINDOW, ColdStartLimit, ColdTerms};
+pub use decide::commit_backoff::CommitBackoff;
+pub use decide::crash_suspects::{CrashSuspects, MAX_SUSPECTS, NoticeEffect};
 pub use decide::host_speed::HostSpeed;
 pub use decide::lease::{TargetCondition, TargetLease};
-pub use decide::life_order::{LifeChange, TargetLife};
 pub use decide::limit::ConcurrencyLimit;
-pub use decide::outcome::{CallLedger, RowVerdict};
-pub use decide::pace::CommitPace;
-pub use decide::probe::ProbeBudget;
+pub use decide::probe_budget::ProbeBudget;
 pub use decide::quota::{
-    AccountQuota, GRANT_LASTS, HolderChange, QuotaGrant, QuotaHolder, QuotaStep, QuotaStock,
-    QuotaTerms, QuotaWindow, choose_holders,
+    AccountQuota, GRANT_LIFETIME, HolderChange, QuotaCredit, QuotaDecision, QuotaGrant,
+    QuotaHolder, QuotaTerms, QuotaWindow, choose_holders,
 };
 pub use decide::registry::{ServiceTargets, TargetRegistry};
-pub use decide::report_pace::ReportPace;
-pub use decide::retry::{CallCourse, NextStep, RetryBudget, RetryShare, TryEnd, hedge_after};
-pub use decide::run_roster::{RunRoster, TrackedRun};
+pub use decide::report_pacer::ReportPacer;
+pub use decide::retry::{
+    AttemptResult, CallAttempts, RetryBudget, RetryDecision, RetryShare, hedge_after,
+};
+pub use decide::running_requests::{RunningRequests, TrackedRequest};
 pub use decide::selection::{
-    CallOutlook, DEFAULT_POLICY, SelectionInput, SelectionPolicy, TargetPlace, TargetRecord,
+    CallEstimate, DEFAULT_POLICY, SelectionInput, SelectionPolicy, TargetLocation, TargetRecord,
     default_policy, policy, policy_names,
 };
+pub use decide::target_incarnation::{HeartbeatVerdict, TargetIncarnation};
 pub use duty::target_report::{TargetAnnouncement, TargetReport};
 pub use fleet::follow::{FOLLOWERS, FollowerRole, follows_store};
 pub use fleet::membership::{MembershipAction, MembershipEvent, MembershipState};
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -17,7 +17,7 @@
 use crate::call::entry::{self, EntryParts};
 use crate::call::guard::{self, GuardParts, GuardRings};
 use crate::call::headers::OWN_NAMES;
-use crate::decide::probe::ProbeBudget;
+use crate::decide::probe_budget::ProbeBudget;
 use crate::durable::{self, ConfigSource, DurableParts, PlatformRings};
 use crate::duty::events::{AdminEvent, EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::readiness::DaemonReadiness;
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -23,8 +23,8 @@
 /// Returns a daemon's part of the further tries that the terms allow.
 pub(crate) fn retry_share(terms: Option<DeploymentTerms>) -> RetryShare {
     terms.map_or_else(RetryShare::default, |terms| RetryShare {
-        earned: terms.retry_ratio * RETRY_PART,
-        saved: terms.retry_slack * RETRY_PART,
+        tokens_per_success: terms.retry_ratio * RETRY_PART,
+        max_tokens: terms.retry_slack * RETRY_PART,
         divided: true,
     })
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -42,9 +42,9 @@
         share: 1,
         priority,
         deadline,
-        give_up: deadline,
+        queue_deadline: deadline,
         work_us: 0,
-        last: true,
+        last_target: true,
     }
 }
 
@@ -182,9 +182,9 @@
 fn a_call_that_cannot_start_in_time_is_refused_at_once() {
     let mut queue = AdmissionQueue::open(1);
     let priority = CallPriority { urgent: false, worth: 1 };
-    let offer = |queue: &mut AdmissionQueue, id: u128, now_ms: u64, give_up_ms: u64| {
+    let offer = |queue: &mut AdmissionQueue, id: u128, now_ms: u64, queue_deadline_ms: u64| {
         let mut call = waiting_call(id, 0, priority, MicroTime::from_millis(1_000));
-        call.give_up = MicroTime::from_millis(give_up_ms);
+        call.queue_deadline = MicroTime::from_millis(queue_deadline_ms);
         call.work_us = 50_000;
         let mut out = Vec::new();
         queue.step(MicroTime::from_millis(now_ms), AdmissionEvent::Arrive(call), &mut out);
@@ -247,14 +247,14 @@
     queue: &mut AdmissionQueue,
     id: u128,
     now_ms: u64,
-    give_up_ms: u64,
-    last: bool,
+    queue_deadline_ms: u64,
+    last_target: bool,
 ) -> Vec<AdmissionAction> {
     let deadline = MicroTime::from_millis(SLOW_SINCE_MS + 2_000);
     let mut call = waiting_call(id, 0, CallPriority::default(), deadline);
-    call.give_up = MicroTime::from_millis(give_up_ms);
+    call.queue_deadline = MicroTime::from_millis(queue_deadline_ms);
     call.work_us = 200_000;
-    call.last = last;
+    call.last_target = last_target;
     let mut out = Vec::new();
     queue.step(MicroTime::from_millis(now_ms), AdmissionEvent::Arrive(call), &mut out);
     out
@@ -300,10 +300,10 @@
 #[test]
 fn a_call_that_waited_in_vain_starts_where_there_is_room_to_spare() {
     let mut queue = slow_queue(8);
-    let give_up_ms = SLOW_SINCE_MS + 100;
-    assert!(offer_work(&mut queue, 1, SLOW_SINCE_MS, give_up_ms, true).is_empty());
+    let queue_deadline_ms = SLOW_SINCE_MS + 100;
+    assert!(offer_work(&mut queue, 1, SLOW_SINCE_MS, queue_deadline_ms, true).is_empty());
     let mut out = Vec::new();
-    queue.step(MicroTime::from_millis(give_up_ms), AdmissionEvent::Tick, &mut out);
+    queue.step(MicroTime::from_millis(queue_deadline_ms), AdmissionEvent::Tick, &mut out);
     assert_eq!(out, [AdmissionAction::Start(CallId(1))]);
 }
 
@@ -344,7 +344,7 @@
                 CallPriority::default(),
                 now + MicroTime::from_millis(2_500),
             );
-            call.give_up = now + MicroTime::from_millis(300);
+            call.queue_deadline = now + MicroTime::from_millis(300);
             call.work_us = 200_000;
             arrived.insert(call.call, now_ms);
             queue.step(now, AdmissionEvent::Arrive(call), &mut out);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -130,7 +130,7 @@
         told,
         ..railspan::LoadReport::default()
     };
-    service.targets[0].hear(MicroTime(1), word(80_000, 1, MicroTime(1)));
+    service.targets[0].record_report(MicroTime(1), word(80_000, 1, MicroTime(1)));
     let mut chosen = [0, 0];
     for number in 1..600_u64 {
         let now = MicroTime::from_millis(number * 100);
@@ -138,7 +138,7 @@
         let index = service.choose(now, policy, &[], &mut rng).expect("a target");
         chosen[index] += 1;
         service.targets[index].finish(now, Some(MicroTime(8_000)), false);
-        service.targets[index].hear(now, word(8_000, number + 1, now));
+        service.targets[index].record_report(now, word(8_000, number + 1, now));
     }
     assert!(chosen[0] > 100, "chosen {chosen:?}");
 }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -5,8 +5,8 @@
 
 use proptest::prelude::*;
 use railspan::{
-    CallCourse, MAX_ATTEMPTS, MicroTime, NextStep, ProbeBudget, RetryBudget, TARGET_LEASE,
-    TargetCondition, TargetLease, TryEnd,
+    AttemptResult, CallAttempts, MAX_ATTEMPTS, MicroTime, ProbeBudget, RetryBudget, RetryDecision,
+    TARGET_LEASE, TargetCondition, TargetLease,
 };
 use seeded::seeded;
 
@@ -52,9 +52,9 @@
         for success in steps {
             if success {
                 successes += 1;
-                budget.succeed();
+                budget.record_success();
             } else {
-                retries += u32::from(budget.take());
+                retries += u32::from(budget.try_take());
             }
         }
         prop_assert!(f64::from(retries) <= 10.0 + 0.1 * f64::from(successes) + 1e-6);
@@ -67,15 +67,15 @@
         ends in proptest::collection::vec((0_u8..4, any::<bool>()), 1..10),
     ) {
         let mut budget = RetryBudget::open();
-        let mut course = CallCourse::open(repeatable, MAX_ATTEMPTS);
+        let mut call_attempts = CallAttempts::open(repeatable, MAX_ATTEMPTS);
         let mut lost = false;
         for (tries, (end, in_time)) in ends.into_iter().enumerate() {
-            let end = [TryEnd::Answered, TryEnd::Refused, TryEnd::Lost, TryEnd::TakeOver][usize::from(end)];
-            lost |= end == TryEnd::Lost;
-            let next = course.step(end, in_time, &mut budget);
-            prop_assert!(!(lost && next == NextStep::TellNotRun));
-            prop_assert!(!(lost && !repeatable && next == NextStep::TryAgain));
-            if next != NextStep::TryAgain {
+            let end = [AttemptResult::Answered, AttemptResult::Refused, AttemptResult::Lost, AttemptResult::TakeOver][usize::from(end)];
+            lost |= end == AttemptResult::Lost;
+            let next = call_attempts.record(end, in_time, &mut budget);
+            prop_assert!(!(lost && next == RetryDecision::ReportNotRun));
+            prop_assert!(!(lost && !repeatable && next == RetryDecision::Retry));
+            if next != RetryDecision::Retry {
                 break;
             }
             prop_assert!(tries + 1 < MAX_ATTEMPTS as usize);
@@ -133,18 +133,18 @@
     if level == budgets.len() {
         return;
     }
-    let mut course = CallCourse::open(true, MAX_ATTEMPTS);
+    let mut call_attempts = CallAttempts::open(true, MAX_ATTEMPTS);
     loop {
         *attempts += 1;
         let end = match (failing[level], lost) {
-            (true, true) => TryEnd::Lost,
-            (true, false) => TryEnd::Refused,
+            (true, true) => AttemptResult::Lost,
+            (true, false) => AttemptResult::Refused,
             (false, _) => {
                 call_level(level + 1, failing, lost, budgets, attempts);
-                TryEnd::Answered
+                AttemptResult::Answered
             }
         };
-        if course.step(end, true, &mut budgets[level]) != NextStep::TryAgain {
+        if call_attempts.record(end, true, &mut budgets[level]) != RetryDecision::Retry {
             return;
         }
     }
--- a/tests/outcomes.rs
+++ b/tests/call_ledger.rs
@@ -7,8 +7,8 @@
 
 use proptest::prelude::*;
 use railspan::{
-    CallId, CallLedger, CallStatus, ClaimRow, ClaimState, DaemonIncarnation, MicroTime,
-    RecordedAnswer, RowVerdict,
+    CallId, CallLedger, CallStatus, ClaimRow, ClaimState, ClaimVerdict, DaemonIncarnation,
+    MicroTime, RecordedAnswer,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -92,7 +92,7 @@
         assert!(ledger.arrive(now, CallId(call)), "full after {} s", now.0 / 1_000_000);
         assert!(ledger.dispatch(CallId(call)));
         let deadline = now + MicroTime::from_millis(2_000);
-        ledger.release(now, CallId(call), CallStatus::Unknown, deadline);
+        ledger.finish_repeatable(now, CallId(call), CallStatus::Unknown, deadline);
         for denied in 1..3 {
             assert!(ledger.arrive(now, CallId(call + denied)));
             assert_eq!(ledger.revoke(now, CallId(call + denied)), CallStatus::NotRun);
@@ -260,7 +260,7 @@
     /// A repeat finds the row and settles it with the guard that holds it.
     fn repeat(&mut self) {
         let Some((version, row)) = self.row.clone() else { return };
-        if row.verdict("print") != RowVerdict::AskGuard {
+        if row.verdict("print") != ClaimVerdict::AskGuard {
             return;
         }
         let holder = self.guards.iter_mut().find(|guard| guard.incarnation == row.incarnation);
@@ -315,7 +315,7 @@
     let deadline = MicroTime::from_millis(1_500);
     assert!(ledger.arrive(MicroTime(0), CallId(1)));
     assert!(ledger.dispatch(CallId(1)));
-    ledger.release(MicroTime::from_millis(10), CallId(1), CallStatus::Unknown, deadline);
+    ledger.finish_repeatable(MicroTime::from_millis(10), CallId(1), CallStatus::Unknown, deadline);
     assert_ne!(ledger.revoke(MicroTime::from_millis(1_460), CallId(1)), CallStatus::NotRun);
     // Long after the deadline nobody asks, and nothing is kept.
     assert_eq!(ledger.revoke(MicroTime::from_millis(60_000), CallId(2)), CallStatus::NotRun);
--- a/tests/clock_lead.rs
+++ b/tests/clock_offset.rs
@@ -1,7 +1,7 @@
 //! Two clocks without a common origin, joined by a link that holds words up.
 
 use proptest::prelude::*;
-use railspan::{ClockLead, MicroTime};
+use railspan::{ClockOffset, MicroTime};
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -19,22 +19,22 @@
     ) {
         let own = |time: u64| MicroTime(time + own_origin);
         let other = |time: u64| MicroTime(time + other_origin);
-        let mut lead: Option<ClockLead> = None;
+        let mut offset: Option<ClockOffset> = None;
         let mut time = 0;
         let mut fastest = u64::MAX;
         for (pause, transit) in words {
             time += pause;
             let arrived = time + transit;
             fastest = fastest.min(transit);
-            match &mut lead {
-                None => lead = Some(ClockLead::open(own(arrived), other(time))),
-                Some(lead) => {
-                    let longer = lead.note(own(arrived), other(time));
+            match &mut offset {
+                None => offset = Some(ClockOffset::open(own(arrived), other(time))),
+                Some(offset) => {
+                    let longer = offset.update(own(arrived), other(time));
                     prop_assert!(longer.0 <= transit);
                 }
             }
             time = arrived;
-            let estimate = lead.expect("noted").theirs(own(time));
+            let estimate = offset.expect("noted").remote_time(own(time));
             prop_assert!(estimate <= other(time));
             let allowed = fastest + time / 1_000;
             prop_assert!(other(time).0.saturating_sub(estimate.0) <= allowed);
@@ -45,7 +45,7 @@
 #[test]
 fn a_word_that_was_held_up_tells_for_how_long() {
     let at = MicroTime::from_millis;
-    let mut lead = ClockLead::open(at(1_001), at(5_000));
-    let longer = lead.note(at(1_801), at(5_100));
+    let mut offset = ClockOffset::open(at(1_001), at(5_000));
+    let longer = offset.update(at(1_801), at(5_100));
     assert!((699_000..=700_000).contains(&longer.0), "{longer:?}");
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -8,8 +8,8 @@
 
 use proptest::prelude::*;
 use railspan::{
-    AdmissionAction, AdmissionEvent, AdmissionQueue, COUNTED_OVER, CallId, CallPriority, ColdGate,
-    ColdTerms, MicroTime, RefusalReason, WaitingCall,
+    AdmissionAction, AdmissionEvent, AdmissionQueue, COLD_RATE_WINDOW, CallId, CallPriority,
+    ColdStartLimit, ColdTerms, MicroTime, RefusalReason, WaitingCall,
 };
 use seeded::seeded;
 use test_case::test_case;
@@ -17,7 +17,7 @@
 /// Calls in a second that the cold targets here bear, and the same as a bound.
 const BEARS: usize = 32;
 
-/// Most calls that a gate with that bound lets begin within [`COUNTED_OVER`].
+/// Most calls that a limit with that bound lets begin within [`COLD_RATE_WINDOW`].
 const MOST: usize = 30;
 
 const SECOND: MicroTime = MicroTime::from_millis(1_000);
@@ -41,10 +41,10 @@
     ]
 }
 
-fn cold_gate(bound: u32) -> ColdGate {
-    let mut gate = ColdGate::default();
-    gate.set_bound(Some(bound));
-    gate
+fn cold_limit(bound: u32) -> ColdStartLimit {
+    let mut limit = ColdStartLimit::default();
+    limit.set_max_rate(Some(bound));
+    limit
 }
 
 proptest! {
@@ -53,27 +53,27 @@
     /// Whenever a call begins at a target that counts as cold, it is one of few.
     #[test]
     fn a_cold_target_is_given_no_more_than_it_bears(bound in 1_u32..80, steps in proptest::collection::vec(step(), 1..600)) {
-        let mut gate = cold_gate(bound);
+        let mut limit = cold_limit(bound);
         let most = bound.saturating_sub(2).max(1) as usize;
         let mut now = MicroTime(0);
         let mut begun: Vec<MicroTime> = Vec::new();
         for step in steps {
             match step {
-                Step::Answer { left_ms } => gate.hear_answer(now, MicroTime::from_millis(left_ms)),
-                Step::Heartbeat { left_ms } => gate.hear_heartbeat(now, MicroTime::from_millis(left_ms)),
-                Step::Doubt => gate.doubt(now),
+                Step::Answer { left_ms } => limit.note_health_answer(now, MicroTime::from_millis(left_ms)),
+                Step::Heartbeat { left_ms } => limit.note_heartbeat(now, MicroTime::from_millis(left_ms)),
+                Step::Doubt => limit.assume_cold(now),
                 Step::Pass { us } => now = now + MicroTime(us),
-                Step::Try if gate.has_room(now) => {
-                    gate.begin(now);
+                Step::Try if limit.may_start(now) => {
+                    limit.record_start(now);
                     begun.push(now);
-                    let counted = begun.iter().filter(|begun| now.since(**begun) < COUNTED_OVER).count();
-                    prop_assert!(counted <= most || !gate.is_cold(now), "{counted} of {most}");
+                    let counted = begun.iter().filter(|begun| now.since(**begun) < COLD_RATE_WINDOW).count();
+                    prop_assert!(counted <= most || !limit.is_cold(now), "{counted} of {most}");
                 }
                 Step::Try => {
-                    // There is room once the gate says so, and not before.
-                    let wait = gate.wait_behind(now, 0);
-                    prop_assert!(!gate.has_room(now + wait - MicroTime(1)));
-                    prop_assert!(gate.has_room(now + wait));
+                    // There is room once the limit says so, and not before.
+                    let wait = limit.wait_behind(now, 0);
+                    prop_assert!(!limit.may_start(now + wait - MicroTime(1)));
+                    prop_assert!(limit.may_start(now + wait));
                 }
             }
         }
@@ -82,102 +82,102 @@
     /// What is foreseen for the calls in a queue is when they can begin.
     #[test]
     fn a_queue_before_a_cold_target_moves_as_foreseen(begun_ms in proptest::collection::vec(0_u64..1_000, 0..30), ahead in 0_usize..100) {
-        let mut gate = cold_gate(BEARS as u32);
-        gate.hear_answer(MicroTime(0), MicroTime::from_millis(30_000));
+        let mut limit = cold_limit(BEARS as u32);
+        limit.note_health_answer(MicroTime(0), MicroTime::from_millis(30_000));
         let mut begun = begun_ms;
         begun.sort_unstable();
         for ms in &begun {
-            gate.begin(MicroTime::from_millis(*ms));
+            limit.record_start(MicroTime::from_millis(*ms));
         }
         let mut now = MicroTime::from_millis(1_000);
-        let foreseen = now + gate.wait_behind(now, ahead);
+        let foreseen = now + limit.wait_behind(now, ahead);
         for _ in 0..ahead {
-            now = now + gate.wait_behind(now, 0);
-            gate.begin(now);
+            now = now + limit.wait_behind(now, 0);
+            limit.record_start(now);
         }
-        now = now + gate.wait_behind(now, 0);
+        now = now + limit.wait_behind(now, 0);
         prop_assert_eq!(foreseen, now);
     }
 }
 
 #[test]
 fn a_late_heartbeat_makes_no_target_warm() {
-    let mut gate = cold_gate(32);
-    gate.hear_answer(SECOND, MicroTime::from_millis(3_000));
-    gate.hear_heartbeat(SECOND, MicroTime(0));
-    assert!(gate.is_cold(SECOND + MicroTime::from_millis(2_999)));
-    gate.hear_answer(SECOND, MicroTime(0));
-    assert!(!gate.is_cold(SECOND));
+    let mut limit = cold_limit(32);
+    limit.note_health_answer(SECOND, MicroTime::from_millis(3_000));
+    limit.note_heartbeat(SECOND, MicroTime(0));
+    assert!(limit.is_cold(SECOND + MicroTime::from_millis(2_999)));
+    limit.note_health_answer(SECOND, MicroTime(0));
+    assert!(!limit.is_cold(SECOND));
 }
 
 #[test]
 fn a_target_that_could_not_be_reached_counts_as_cold_until_it_answers() {
-    let mut gate = cold_gate(32);
-    gate.doubt(SECOND);
-    assert!(gate.is_cold(SECOND) && gate.is_doubted());
-    gate.hear_heartbeat(SECOND, MicroTime(0));
-    assert!(gate.is_cold(SECOND), "the heartbeat may be of before");
-    gate.hear_answer(SECOND, MicroTime(0));
-    assert!(!gate.is_cold(SECOND));
-    gate.doubt(SECOND);
+    let mut limit = cold_limit(32);
+    limit.assume_cold(SECOND);
+    assert!(limit.is_cold(SECOND) && limit.is_assumed_cold());
+    limit.note_heartbeat(SECOND, MicroTime(0));
+    assert!(limit.is_cold(SECOND), "the heartbeat may be of before");
+    limit.note_health_answer(SECOND, MicroTime(0));
+    assert!(!limit.is_cold(SECOND));
+    limit.assume_cold(SECOND);
     let later = SECOND + MicroTime::from_millis(5_000);
-    assert!(!gate.is_cold(later), "a target without a path for health is not doubted for ever");
+    assert!(!limit.is_cold(later), "a target without a path for health is not doubted for ever");
 }
 
 #[test]
 fn what_an_earlier_guard_began_counts() {
-    let mut gate = cold_gate(32);
-    gate.follow_predecessor(MicroTime(0));
-    gate.hear_answer(MicroTime(0), MicroTime::from_millis(2_000));
-    assert!(!gate.has_room(MicroTime::from_millis(1_099)));
-    assert!(gate.has_room(COUNTED_OVER));
+    let mut limit = cold_limit(32);
+    limit.block_for_predecessor(MicroTime(0));
+    limit.note_health_answer(MicroTime(0), MicroTime::from_millis(2_000));
+    assert!(!limit.may_start(MicroTime::from_millis(1_099)));
+    assert!(limit.may_start(COLD_RATE_WINDOW));
     // What is cold for longer than a start lasts may have been so for any time.
     let lasts = MicroTime::from_millis(1_500);
     let first_told = |now_ms: u64, left_ms: u64| {
-        let mut gate = cold_gate(32);
-        gate.follow_predecessor(MicroTime(0));
+        let mut limit = cold_limit(32);
+        limit.block_for_predecessor(MicroTime(0));
         let (now, left) = (MicroTime::from_millis(now_ms), MicroTime::from_millis(left_ms));
-        gate.note_turn(now, left, lasts);
-        gate.hear_answer(now, left);
-        gate
+        limit.note_cold_start(now, left, lasts);
+        limit.note_health_answer(now, left);
+        limit
     };
-    assert!(!first_told(0, 2_000).has_room(MicroTime(0)));
+    assert!(!first_told(0, 2_000).may_start(MicroTime(0)));
     // It was cold for 0.4 s when this guard had run for 0.1 s.
-    assert!(!first_told(100, 1_100).has_room(MicroTime::from_millis(100)));
-    assert!(first_told(300, 1_100).has_room(MicroTime::from_millis(300)));
+    assert!(!first_told(100, 1_100).may_start(MicroTime::from_millis(100)));
+    assert!(first_told(300, 1_100).may_start(MicroTime::from_millis(300)));
     // The same cold time, told before this guard knew how long a start lasts.
-    let mut gate = cold_gate(32);
-    gate.follow_predecessor(MicroTime(0));
-    gate.hear_heartbeat(MicroTime::from_millis(100), MicroTime::from_millis(1_400));
-    gate.note_turn(MicroTime::from_millis(300), MicroTime::from_millis(1_200), lasts);
-    assert!(gate.has_room(MicroTime::from_millis(300)));
+    let mut limit = cold_limit(32);
+    limit.block_for_predecessor(MicroTime(0));
+    limit.note_heartbeat(MicroTime::from_millis(100), MicroTime::from_millis(1_400));
+    limit.note_cold_start(MicroTime::from_millis(300), MicroTime::from_millis(1_200), lasts);
+    assert!(limit.may_start(MicroTime::from_millis(300)));
     // It was cold before this guard's start, and turns so anew.
-    let mut gate = first_told(0, 1_000);
-    gate.note_turn(MicroTime::from_millis(300), lasts, lasts);
-    gate.hear_answer(MicroTime::from_millis(300), lasts);
-    assert!(!gate.has_room(MicroTime::from_millis(300)));
-    assert!(gate.has_room(COUNTED_OVER));
+    let mut limit = first_told(0, 1_000);
+    limit.note_cold_start(MicroTime::from_millis(300), lasts, lasts);
+    limit.note_health_answer(MicroTime::from_millis(300), lasts);
+    assert!(!limit.may_start(MicroTime::from_millis(300)));
+    assert!(limit.may_start(COLD_RATE_WINDOW));
 }
 
 #[test]
 fn a_target_without_a_bound_takes_what_comes() {
-    let mut gate = ColdGate::default();
-    gate.hear_answer(MicroTime(0), SECOND);
-    assert!(gate.has_room(MicroTime(0)) && gate.room(MicroTime(0)).is_none());
+    let mut limit = ColdStartLimit::default();
+    limit.note_health_answer(MicroTime(0), SECOND);
+    assert!(limit.may_start(MicroTime(0)) && limit.room(MicroTime(0)).is_none());
 }
 
 #[test]
 fn a_writer_of_nonsense_closes_no_target_for_good() {
-    let mut gate = cold_gate(32);
-    gate.hear_heartbeat(SECOND, MicroTime(u64::MAX));
-    assert!(!gate.is_cold(SECOND + MicroTime::from_millis(61_000)));
+    let mut limit = cold_limit(32);
+    limit.note_heartbeat(SECOND, MicroTime(u64::MAX));
+    assert!(!limit.is_cold(SECOND + MicroTime::from_millis(61_000)));
 }
 
 #[test_case(16.0, 1.5, 8.0, 32)]
 #[test_case(2.5, 1.0, 0.0, 2)]
 #[test_case(0.0, 1.0, 0.0, 0)]
 fn the_bound_is_of_the_rate_and_the_terms(per_s: f64, over: f64, slack: f64, bound: u32) {
-    assert_eq!(ColdTerms { over, slack }.bound(per_s), bound);
+    assert_eq!(ColdTerms { over, slack }.max_rate(per_s), bound);
 }
 
 /// A target that is cold for some seconds, takes twice its time meanwhile, and falls
@@ -234,8 +234,8 @@
 fn play(per_s: u64, bound: Option<u32>) -> (ColdTarget, CallerCounts) {
     let mut target = ColdTarget::open();
     let mut queue = AdmissionQueue::open(11);
-    queue.cold_mut().set_bound(bound);
-    queue.cold_mut().hear_answer(MicroTime(0), MicroTime::from_millis(COLD_MS));
+    queue.cold_start_mut().set_max_rate(bound);
+    queue.cold_start_mut().note_health_answer(MicroTime(0), MicroTime::from_millis(COLD_MS));
     let mut counts = CallerCounts::default();
     let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
     let mut arrived: Vec<u64> = Vec::new();
@@ -244,7 +244,7 @@
         let mut out = Vec::new();
         if now_ms.is_multiple_of(40) && now_ms >= target.up_at {
             let left = MicroTime::from_millis(target.cold_until.saturating_sub(now_ms));
-            queue.cold_mut().hear_answer(now, left);
+            queue.cold_start_mut().note_health_answer(now, left);
         }
         ends.retain(|(end, call, began)| {
             let over = *end <= now_ms;
@@ -263,9 +263,9 @@
                 share: 1,
                 priority: CallPriority::default(),
                 deadline: now + MicroTime::from_millis(600),
-                give_up: now + MicroTime::from_millis(100),
+                queue_deadline: now + MicroTime::from_millis(100),
                 work_us: WORK_MS as u32 * 1_000,
-                last: true,
+                last_target: true,
             };
             arrived.push(now_ms);
             queue.step(now, AdmissionEvent::Arrive(call), &mut out);
@@ -316,8 +316,8 @@
 /// A queue before a cold target of which all room is taken at the start.
 fn queue_without_room() -> AdmissionQueue {
     let mut queue = AdmissionQueue::open(64);
-    queue.cold_mut().set_bound(Some(BEARS as u32));
-    queue.cold_mut().hear_answer(MicroTime(0), SECOND + SECOND);
+    queue.cold_start_mut().set_max_rate(Some(BEARS as u32));
+    queue.cold_start_mut().note_health_answer(MicroTime(0), SECOND + SECOND);
     for id in 0..MOST as u128 {
         let started = offer(&mut queue, id, 0, true);
         assert_eq!(started, [AdmissionAction::Start(CallId(id))]);
@@ -325,7 +325,12 @@
     queue
 }
 
-fn offer(queue: &mut AdmissionQueue, id: u128, now_ms: u64, last: bool) -> Vec<AdmissionAction> {
+fn offer(
+    queue: &mut AdmissionQueue,
+    id: u128,
+    now_ms: u64,
+    last_target: bool,
+) -> Vec<AdmissionAction> {
     let now = MicroTime::from_millis(now_ms);
     let call = WaitingCall {
         call: CallId(id),
@@ -333,9 +338,9 @@
         share: 1,
         priority: CallPriority::default(),
         deadline: now + SECOND,
-        give_up: now + MicroTime::from_millis(300),
+        queue_deadline: now + MicroTime::from_millis(300),
         work_us: 40_000,
-        last,
+        last_target,
     };
     let mut out = Vec::new();
     queue.step(now, AdmissionEvent::Arrive(call), &mut out);
@@ -365,6 +370,6 @@
     let mut out = Vec::new();
     queue.step(MicroTime::from_millis(1_099), AdmissionEvent::Tick, &mut out);
     assert!(out.is_empty());
-    queue.step(COUNTED_OVER, AdmissionEvent::Tick, &mut out);
+    queue.step(COLD_RATE_WINDOW, AdmissionEvent::Tick, &mut out);
     assert_eq!(out, [AdmissionAction::Start(CallId(101))]);
 }
--- a/tests/crash_book.rs
+++ b/tests/crash_suspects.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use railspan::{
-    BLAMED_AFTER, CallId, CrashBook, MAX_SUSPECTS, MicroTime, NoticeEffect, RequestDigest,
-    RunRoster, SuspectNotice, SuspectRecord, TrackedRun,
+    BLAMED_AFTER, CallId, CrashSuspects, MAX_SUSPECTS, MicroTime, NoticeEffect, RequestDigest,
+    RunningRequests, SuspectNotice, SuspectRecord, TrackedRequest,
 };
 
 const DEADLY: RequestDigest = RequestDigest(7);
@@ -13,82 +13,82 @@
     SuspectNotice { digest: RequestDigest(digest), record }
 }
 
-/// Lets a target end under some requests, as a guard does that knows `book`.
-fn crash(book: &mut CrashBook, running: &[RequestDigest]) -> Vec<SuspectNotice> {
-    let mut roster = RunRoster::default();
+/// Lets a target end under some requests, as a guard does that knows `suspects`.
+fn crash(suspects: &mut CrashSuspects, running: &[RequestDigest]) -> Vec<SuspectNotice> {
+    let mut runs = RunningRequests::default();
     for (number, digest) in running.iter().enumerate() {
-        let run = TrackedRun { digest: *digest, began_with: book.standing(*digest) };
-        roster.begin(CallId(number as u128), run);
+        let run = TrackedRequest { digest: *digest, record_at_start: suspects.record(*digest) };
+        runs.start(CallId(number as u128), run);
     }
-    let notices = roster.end(MicroTime(0));
+    let notices = runs.target_ended(MicroTime(0));
     for notice in &notices {
-        book.learn(MicroTime(0), *notice);
+        suspects.merge(MicroTime(0), *notice);
     }
     notices
 }
 
 #[test]
 fn three_crashes_in_a_row_blame_a_request_and_nothing_beside_it() {
-    let mut book = CrashBook::default();
+    let mut suspects = CrashSuspects::default();
     for round in 0..u128::from(BLAMED_AFTER) {
-        assert!(!book.standing(DEADLY).is_blamed(), "blamed before round {round}");
+        assert!(!suspects.record(DEADLY).is_blamed(), "blamed before round {round}");
         let beside: Vec<RequestDigest> =
             (0..10).map(|number| RequestDigest(100 + round * 10 + number)).collect();
-        crash(&mut book, &[&*beside, &[DEADLY]].concat());
+        crash(&mut suspects, &[&*beside, &[DEADLY]].concat());
     }
-    assert!(book.standing(DEADLY).is_blamed());
-    assert_eq!(book.blamed().len(), 1);
+    assert!(suspects.record(DEADLY).is_blamed());
+    assert_eq!(suspects.blamed().len(), 1);
 }
 
 #[test]
 fn targets_that_end_at_once_count_as_one_crash() {
     // A read that many callers make runs everywhere when a rack loses its power.
-    let mut book = CrashBook::default();
-    let before = book.clone();
+    let mut suspects = CrashSuspects::default();
+    let before = suspects.clone();
     for _ in 0..20 {
         let notices = crash(&mut before.clone(), &[DEADLY]);
-        book.learn(MicroTime(0), notices[0]);
+        suspects.merge(MicroTime(0), notices[0]);
     }
-    assert_eq!(book.standing(DEADLY).crashes, 1);
+    assert_eq!(suspects.record(DEADLY).crashes, 1);
 }
 
 #[test]
 fn an_answer_clears_a_request_for_all_who_hear_of_it() {
-    let mut book = CrashBook::default();
-    let early = crash(&mut book, &[DEADLY])[0];
-    let record = crash(&mut book, &[DEADLY])[0].record.after_clearance();
+    let mut suspects = CrashSuspects::default();
+    let early = crash(&mut suspects, &[DEADLY])[0];
+    let record = crash(&mut suspects, &[DEADLY])[0].record.after_clearance();
     assert_eq!(
-        book.learn(MicroTime(0), SuspectNotice { digest: DEADLY, record }),
+        suspects.merge(MicroTime(0), SuspectNotice { digest: DEADLY, record }),
         NoticeEffect::New
     );
-    assert_eq!(book.learn(MicroTime(0), early), NoticeEffect::Outdated);
-    assert!(!book.standing(DEADLY).is_suspected());
+    assert_eq!(suspects.merge(MicroTime(0), early), NoticeEffect::Outdated);
+    assert!(!suspects.record(DEADLY).is_suspected());
 }
 
 #[test]
 fn a_call_whose_caller_left_is_suspected_for_a_while() {
-    let run = TrackedRun { digest: DEADLY, began_with: SuspectRecord::default() };
-    let mut roster = RunRoster::default();
-    roster.begin(CallId(1), run);
-    roster.leave(MicroTime::from_millis(10), CallId(1));
-    assert_eq!(roster.clone().end(MicroTime::from_millis(400)).len(), 1);
-    assert!(roster.end(MicroTime::from_millis(5_000)).is_empty());
-    roster.begin(CallId(2), run);
-    roster.finish(CallId(2));
-    assert!(roster.end(MicroTime(0)).is_empty(), "what was answered ended nothing");
+    let run = TrackedRequest { digest: DEADLY, record_at_start: SuspectRecord::default() };
+    let mut runs = RunningRequests::default();
+    runs.start(CallId(1), run);
+    runs.abandon(MicroTime::from_millis(10), CallId(1));
+    assert_eq!(runs.clone().target_ended(MicroTime::from_millis(400)).len(), 1);
+    assert!(runs.target_ended(MicroTime::from_millis(5_000)).is_empty());
+    runs.start(CallId(2), run);
+    runs.finish(CallId(2));
+    assert!(runs.target_ended(MicroTime(0)).is_empty(), "what was answered ended nothing");
 }
 
 #[test]
 fn a_flood_of_suspects_does_not_push_out_what_is_blamed() {
-    let mut book = CrashBook::default();
-    book.learn(MicroTime(0), notice(DEADLY.0, 0, BLAMED_AFTER));
-    let hash = book.blamed_hash();
+    let mut suspects = CrashSuspects::default();
+    suspects.merge(MicroTime(0), notice(DEADLY.0, 0, BLAMED_AFTER));
+    let hash = suspects.blamed_hash();
     for number in 0..3 * MAX_SUSPECTS as u128 {
-        book.learn(MicroTime::from_millis(number as u64), notice(1_000 + number, 5, 1));
+        suspects.merge(MicroTime::from_millis(number as u64), notice(1_000 + number, 5, 1));
     }
-    assert!(book.len() <= MAX_SUSPECTS);
-    assert!(book.standing(DEADLY).is_blamed());
-    assert_eq!(book.blamed_hash(), hash);
+    assert!(suspects.len() <= MAX_SUSPECTS);
+    assert!(suspects.record(DEADLY).is_blamed());
+    assert_eq!(suspects.blamed_hash(), hash);
 }
 
 #[test]
@@ -121,18 +121,18 @@
         notices in proptest::collection::vec(any_notice(), 0..20),
         again in proptest::collection::vec(0..20_usize, 0..20),
     ) {
-        let mut one = CrashBook::default();
-        let mut other = CrashBook::default();
+        let mut one = CrashSuspects::default();
+        let mut other = CrashSuspects::default();
         for notice in &notices {
-            one.learn(MicroTime(0), *notice);
+            one.merge(MicroTime(0), *notice);
         }
         for index in again {
             if let Some(notice) = notices.get(index) {
-                other.learn(MicroTime(0), *notice);
+                other.merge(MicroTime(0), *notice);
             }
         }
         for notice in notices.iter().rev() {
-            other.learn(MicroTime(0), *notice);
+            other.merge(MicroTime(0), *notice);
         }
         prop_assert_eq!(one.notices(), other.notices());
         prop_assert_eq!(one.blamed_hash(), other.blamed_hash());
@@ -145,24 +145,24 @@
     fn blame_needs_three_crashes_without_an_answer(
         events in proptest::collection::vec(0..4_u8, 0..40),
     ) {
-        let mut book = CrashBook::default();
+        let mut suspects = CrashSuspects::default();
         let mut in_a_row = 0;
         for event in events {
-            if book.standing(DEADLY).is_blamed() {
+            if suspects.record(DEADLY).is_blamed() {
                 break;
             }
             if event == 0 {
-                let record = book.standing(DEADLY);
+                let record = suspects.record(DEADLY);
                 if record.is_suspected() {
                     let record = record.after_clearance();
-                    book.learn(MicroTime(0), SuspectNotice { digest: DEADLY, record });
+                    suspects.merge(MicroTime(0), SuspectNotice { digest: DEADLY, record });
                 }
                 in_a_row = 0;
             } else {
-                crash(&mut book, &[DEADLY, RequestDigest(u128::from(event))]);
+                crash(&mut suspects, &[DEADLY, RequestDigest(u128::from(event))]);
                 in_a_row += 1;
             }
-            prop_assert_eq!(book.standing(DEADLY).is_blamed(), in_a_row >= BLAMED_AFTER);
+            prop_assert_eq!(suspects.record(DEADLY).is_blamed(), in_a_row >= BLAMED_AFTER);
         }
     }
 }
--- a/tests/host_speed.rs
+++ b/tests/host_speed.rs
@@ -23,7 +23,7 @@
     let speed = in_slow_spell();
     // Five times 200 ms, against some 150 ms of the spell and 200 ms.
     assert!(speed.is_worth_waiting(200_000.0));
-    let time = speed.time_for(200_000.0);
+    let time = speed.expected_us(200_000.0);
     assert!((300_000.0..500_000.0).contains(&time), "{time}");
 }
 
@@ -31,7 +31,7 @@
 fn short_work_is_done_before_a_slow_spell_ends() {
     let speed = in_slow_spell();
     assert!(!speed.is_worth_waiting(20_000.0));
-    assert!((speed.time_for(20_000.0) - 100_000.0).abs() < 1.0);
+    assert!((speed.expected_us(20_000.0) - 100_000.0).abs() < 1.0);
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let mut speed = in_slow_spell();
     speed.note(MicroTime::from_millis(401 * 150), 100);
     assert!(!speed.is_worth_waiting(200_000.0));
-    assert!((speed.time_for(200_000.0) - 200_000.0).abs() < 1.0);
+    assert!((speed.expected_us(200_000.0) - 200_000.0).abs() < 1.0);
 }
 
 /// A fresh target is twice as slow for seconds: that is no spell to wait for.
@@ -66,7 +66,7 @@
         let mut speed = HostSpeed::default();
         for (now, percent) in words {
             speed.note(MicroTime(u64::from(now)), percent);
-            let time = speed.time_for(f64::from(work_us));
+            let time = speed.expected_us(f64::from(work_us));
             prop_assert!(time.is_finite() && time >= 0.0);
             prop_assert!(speed.slowness().is_finite() && speed.slowness() > 0.0);
         }
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -35,12 +35,12 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut now, mut answered, mut limits, mut turns) = (0.0, 0, 0.0, 0);
         while now < seconds {
-            limit.pass(MicroTime((now * 1e6) as u64), true);
+            limit.advance(MicroTime((now * 1e6) as u64), true);
             let running = limit.limit();
             // Single calls take from half to one and a half of the mean.
             let stretch = self.stretch(running) * rng.random_range(0.5..1.5);
             now += self.stretch(running) * WORK_S / running as f64;
-            limit.note(MicroTime((now * 1e6) as u64), running as f64, stretch);
+            limit.record(MicroTime((now * 1e6) as u64), running as f64, stretch);
             if now > seconds / 2.0 {
                 answered += 1;
                 limits += running as f64;
@@ -88,9 +88,9 @@
     let mut later = MicroTime::from_millis(30_000);
     for _ in 0..8_000 {
         later = later + MicroTime::from_millis(12);
-        limit.pass(later, true);
+        limit.advance(later, true);
         let running = limit.limit() as f64;
-        limit.note(later, running, 1.0);
+        limit.record(later, running, 1.0);
     }
     assert_eq!(limit.limit(), 18);
 }
@@ -114,8 +114,8 @@
     ) {
         let mut limit = ConcurrencyLimit::open(slots);
         for (now, beside, stretch, again) in notes {
-            limit.pass(MicroTime(now), again % 2 == 0);
-            limit.note(MicroTime(now), beside, stretch);
+            limit.advance(MicroTime(now), again % 2 == 0);
+            limit.record(MicroTime(now), beside, stretch);
             let least = usize::from(slots).div_ceil(2).max(1);
             prop_assert!((least..=usize::from(slots).max(1)).contains(&limit.limit()));
             if again % 16 == 0 {
@@ -132,7 +132,7 @@
 fn a_limit_that_is_lowered_does_not_jump_to_the_top() {
     let mut limit = ConcurrencyLimit::open(16);
     let mut note = |beside: f64, stretch: f64, answers: u32| {
-        (0..answers).for_each(|_| limit.note(MicroTime(0), beside, stretch));
+        (0..answers).for_each(|_| limit.record(MicroTime(0), beside, stretch));
         limit.limit()
     };
     // All slots answer 8.9 calls in the time of one, the first limit 10.
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -8,8 +8,8 @@
 
 use proptest::prelude::*;
 use railspan::{
-    AccountName, AccountQuota, HostName, MicroTime, QuotaHolder, QuotaStep, QuotaStock, QuotaTerms,
-    QuotaWindow, choose_holders,
+    AccountName, AccountQuota, HostName, MicroTime, QuotaCredit, QuotaDecision, QuotaHolder,
+    QuotaTerms, QuotaWindow, choose_holders,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -21,10 +21,10 @@
 /// Time until the fleet takes a silent daemon for dead.
 const DEATH_NOTICED: MicroTime = MicroTime::from_millis(4_000);
 
-/// One daemon: its entry's stock, and what it holds of the quota.
+/// One daemon: its entry's credit, and what it holds of the quota.
 struct PlayedDaemon {
     host: HostName,
-    stock: QuotaStock,
+    credit: QuotaCredit,
     holder: QuotaHolder,
     started: MicroTime,
     /// Since when it is cut off from all others, if it is.
@@ -46,7 +46,7 @@
     fn open(daemons: usize, quota: AccountQuota, seed: u64) -> Self {
         let daemon = |index| PlayedDaemon {
             host: HostName::from(format!("h{index}").as_str()),
-            stock: QuotaStock::default(),
+            credit: QuotaCredit::default(),
             holder: QuotaHolder::default(),
             started: MicroTime(0),
             cut_since: None,
@@ -88,7 +88,7 @@
             let up: Vec<&HostName> = up.iter().collect();
             let quotas = std::iter::once((&self.account, self.quota));
             let daemon = &mut self.daemons[index];
-            daemon.holder.adopt(self.now, &daemon.host, &up, quotas, TERMS);
+            daemon.holder.update(self.now, &daemon.host, &up, quotas, TERMS);
         }
     }
 
@@ -98,10 +98,10 @@
     }
 
     fn request(&mut self, entry: usize) {
-        let want = match self.daemons[entry].stock.arrive(self.now) {
-            QuotaStep::Pass => return self.passed.push(self.now),
-            QuotaStep::Refuse(_) => return self.refused += 1,
-            QuotaStep::Ask(want) => want,
+        let want = match self.daemons[entry].credit.arrive(self.now) {
+            QuotaDecision::Admit => return self.passed.push(self.now),
+            QuotaDecision::Refuse(_) => return self.refused += 1,
+            QuotaDecision::AskHolder(want) => want,
         };
         for holder in self.holders_for(entry) {
             if !self.connects(entry, holder) {
@@ -109,16 +109,16 @@
             }
             let now = self.now;
             let settled = now.since(self.daemons[entry].started) >= WINDOW;
-            let grant = self.daemons[holder].holder.take(now, &self.account, want, settled);
+            let grant = self.daemons[holder].holder.grant(now, &self.account, want, settled);
             let Some(grant) = grant else { continue };
             // One answer in twenty is lost, and with it what it grants.
             if grant.granted == 0 || self.rng.random_bool(0.05) {
                 continue;
             }
-            self.daemons[entry].stock.grant(now, grant.granted - 1);
+            self.daemons[entry].credit.add_grant(now, grant.granted - 1);
             return self.passed.push(now);
         }
-        self.daemons[entry].stock.run_dry(self.now, 10);
+        self.daemons[entry].credit.mark_exhausted(self.now, 10);
         self.refused += 1;
     }
 
@@ -242,7 +242,7 @@
             let daemon = &mut fleet.daemons[holder];
             daemon.cut_since = None;
             daemon.holder = QuotaHolder::default();
-            daemon.stock = QuotaStock::default();
+            daemon.credit = QuotaCredit::default();
             daemon.started = fleet.now;
             fleet.play(4_000, 800.0, &entries);
         }
@@ -259,7 +259,7 @@
     let mut refused = Vec::new();
     for _ in 0..1_000 {
         now = now + MicroTime::from_millis(10);
-        let grant = window.take(now, 1, true);
+        let grant = window.grant(now, 1, true);
         if grant.granted == 0 {
             refused.push(now + MicroTime::from_millis(u64::from(grant.wait_ms)));
         }
@@ -267,7 +267,7 @@
     assert!(refused.len() > 500, "five times the quota is asked for");
     assert!(refused.windows(2).all(|pair| pair[0] <= pair[1]), "one after the other");
     let last = *refused.last().expect("some were refused");
-    assert_eq!(window.take(last, 1, true).granted, 1);
+    assert_eq!(window.grant(last, 1, true).granted, 1);
 }
 
 /// After a loss of power of all hosts the quota's rate is let through from the first
@@ -277,7 +277,7 @@
     let mut window = QuotaWindow::open(MicroTime(0), quota(100, 100), TERMS);
     let mut granted = 0;
     for step in 1..=100 {
-        let grant = window.take(MicroTime::from_millis(step * 10), 10, false);
+        let grant = window.grant(MicroTime::from_millis(step * 10), 10, false);
         granted += u32::from(grant.granted);
     }
     // A quarter of a hundred a second, and no more than a fifth of the whole window's.
--- a/tests/report_pace.rs
+++ b/tests/report_pacer.rs
@@ -4,7 +4,7 @@
 mod seeded;
 
 use proptest::prelude::*;
-use railspan::{MicroTime, ProbeBudget, ReportPace};
+use railspan::{MicroTime, ProbeBudget, ReportPacer};
 use seeded::seeded;
 
 /// Bytes of one report to one listener.
@@ -19,12 +19,12 @@
     /// In no span more is granted than the rate and one report to all.
     #[test]
     fn reports_keep_to_their_rate(rate in 100_u32..20_000, listeners in 1_u64..300, gaps in proptest::collection::vec(0_u64..200_000, 1..300)) {
-        let mut pace = ReportPace::open(rate);
+        let mut pacer = ReportPacer::open(rate);
         let mut now = MicroTime(0);
         let mut granted: Vec<u64> = Vec::new();
         for gap in gaps {
             now = now + MicroTime(gap);
-            if pace.take(now, listeners * REPORT) {
+            if pacer.take(now, listeners * REPORT) {
                 granted.push(now.0);
             }
         }
@@ -61,7 +61,7 @@
 fn those_near_know_more_than_by_a_budget_of_seconds() {
     let mut budget = ProbeBudget::open(u32::MAX, 10_000);
     let by_second = mean_age_ms(|now| budget.take(now, 48, 48 * REPORT as u32));
-    let (mut near, mut far) = (ReportPace::open(8_000), ReportPace::open(2_000));
+    let (mut near, mut far) = (ReportPacer::open(8_000), ReportPacer::open(2_000));
     let near_ms = mean_age_ms(|now| near.take(now, 24 * REPORT));
     let far_ms = mean_age_ms(|now| far.take(now, 24 * REPORT));
     assert!(near_ms * 4 < by_second, "{near_ms} near, {by_second} by the second");
--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -8,7 +8,7 @@
 
 use fake_network::{FakeNetwork, address, record};
 use railspan::{
-    BENEFIT_POLICY, CallOutlook, HostName, LoadReport, MemberRecord, MembershipEvent,
+    BENEFIT_POLICY, CallEstimate, HostName, LoadReport, MemberRecord, MembershipEvent,
     MembershipState, MicroTime, ServiceTargets, TargetNotice, TargetRecord, TargetRegistry, policy,
 };
 use rand::SeedableRng;
@@ -68,8 +68,8 @@
         let record = &mut targets.targets[index];
         if lost.contains(&record.name.to_string()) {
             record.finish(now, None, false);
-            record.lose_contact(now);
-            return record.place.as_ref().map(|place| place.host.clone());
+            record.eject(now);
+            return record.location.as_ref().map(|place| place.host.clone());
         }
         self.sequence += 1;
         let load = LoadReport {
@@ -79,7 +79,7 @@
             told: now,
             ..LoadReport::default()
         };
-        record.hear(now, load);
+        record.record_report(now, load);
         record.finish(now, Some(MicroTime::from_millis(50)), false);
         None
     }
@@ -105,7 +105,7 @@
         for (at, node) in &network.nodes {
             let entry = entries.entry(*at).or_default();
             let none = std::collections::BTreeSet::new();
-            entry.registry.adopt(now, &node.view(), &node.own().data_centre, &none);
+            entry.registry.update(now, &node.view(), &node.own().data_centre, &none);
             if !heeds_doubt {
                 let targets = entry.registry.services.values_mut();
                 targets
@@ -155,7 +155,10 @@
 fn target(name: &str, doubted: bool, heard_ago_ms: u64) -> TargetRecord {
     let mut record = TargetRecord::new(name.into(), None, 9, MicroTime(0));
     let heard = MicroTime(NOW.0 - heard_ago_ms * 1_000);
-    record.hear(heard, LoadReport { slots: 9, sequence: 1, told: heard, ..LoadReport::default() });
+    record.record_report(
+        heard,
+        LoadReport { slots: 9, sequence: 1, told: heard, ..LoadReport::default() },
+    );
     record.suspect = doubted;
     record
 }
@@ -166,8 +169,8 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let policy = policy(BENEFIT_POLICY).expect("policy");
     let mut choose = || {
-        let outlook = CallOutlook::default();
-        let index = targets.choose_for(NOW, policy, &[], &outlook, &mut rng).expect("a target");
+        let estimate = CallEstimate::default();
+        let index = targets.choose_for(NOW, policy, &[], &estimate, &mut rng).expect("a target");
         targets.targets[index].outstanding = 0;
         targets.targets[index].name.to_string()
     };
--- a/tests/suspects_at_size.rs
+++ b/tests/suspects_at_size.rs
@@ -66,7 +66,7 @@
     }
 
     fn standing(&self, index: usize) -> SuspectRecord {
-        self.network.nodes[&address(index)].suspects().standing(DEADLY)
+        self.network.nodes[&address(index)].suspects().record(DEADLY)
     }
 
     /// A copy comes at one host for a target of another, unless either knows better.
--- a/tests/suspended_host.rs
+++ b/tests/suspended_host.rs
@@ -5,7 +5,7 @@
 
 use railspan::{
     AdmissionAction, AdmissionEvent, AdmissionQueue, CallId, CallLedger, CallPriority, CallStatus,
-    ClockLead, MicroTime, RefusalReason, TargetCondition, TargetLease, WaitingCall,
+    ClockOffset, MicroTime, RefusalReason, TargetCondition, TargetLease, WaitingCall,
 };
 use test_case::test_case;
 
@@ -21,9 +21,9 @@
         share: 1,
         priority: CallPriority::default(),
         deadline,
-        give_up: deadline,
+        queue_deadline: deadline,
         work_us: 0,
-        last: true,
+        last_target: true,
     }
 }
 
@@ -70,9 +70,9 @@
 /// suspension not counted, all calls sent before it would seem to be fresh.
 #[test]
 fn what_was_sent_before_is_known_to_be_old() {
-    let mut lead = ClockLead::open(BEFORE, BEFORE);
-    let sent = lead.theirs(BEFORE);
+    let mut offset = ClockOffset::open(BEFORE, BEFORE);
+    let sent = offset.remote_time(BEFORE);
     assert_eq!(AWAKE.since(sent), AWAKE.since(BEFORE));
-    lead.note(AWAKE, AWAKE);
-    assert_eq!(lead.theirs(AWAKE), AWAKE);
+    offset.update(AWAKE, AWAKE);
+    assert_eq!(offset.remote_time(AWAKE), AWAKE);
 }
