--- a/src/decide/admission/events.rs
+++ b/src/decide/admission/events.rs
@@ -1,62 +1,62 @@
-//! What happens at the admission queue of a target, and what follows from it.
+//! Input events and resulting actions of a target's admission queue.
 
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, CallId};
 use crate::base::wire::{CallPriority, RefusalReason};
 
-/// A call at the queue of a guard.
+/// A call that has arrived at a guard and has no slot yet.
 #[derive(Clone, Debug)]
 pub struct WaitingCall {
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
-    /// Who calls.
+    /// Client account that makes the call.
     pub account: AccountName,
-    /// The account's share.
+    /// The account's share of the target, relative to other accounts.
     pub share: u16,
-    /// How it competes.
+    /// Priority in the competition for a slot.
     pub priority: CallPriority,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting for an answer.
     pub deadline: MicroTime,
-    /// When it is refused if it has no slot yet; not after the deadline.
+    /// Time at which the call is refused if it has no slot yet; never after `deadline`.
     pub queue_deadline: MicroTime,
-    /// Time a target at its usual speed takes, in microseconds; zero if unknown.
+    /// Expected service time on a host of normal speed, in microseconds; zero if unknown.
     pub work_us: u32,
-    /// Whether its entry has no other target left to try.
+    /// Whether the entry has no other target left to try.
     pub last_target: bool,
 }
 
-/// What happens at a guard.
+/// An input event of an admission queue.
 #[derive(Clone, Debug)]
 pub enum AdmissionEvent {
-    /// A call came.
+    /// A call arrived.
     Arrive(WaitingCall),
-    /// A started call ended after `took`; `failed` if the target broke it.
+    /// A started call ended.
     Finish {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// Time in the target, or none if it was never dispatched.
+        /// Time the call spent in the target; `None` if it was never dispatched.
         took: Option<MicroTime>,
-        /// Whether the target failed it.
+        /// Whether the target failed to serve the call.
         failed: bool,
     },
-    /// A call that was not dispatched was revoked or its caller left.
+    /// A call that was not dispatched was revoked, or its caller disconnected.
     Cancel(CallId),
     /// Time passed.
     Tick,
 }
 
-/// What a guard has to do.
+/// An action that the guard has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
-    /// Start the call now.
+    /// Dispatch the call now.
     Start(CallId),
     /// Refuse the call now.
     Refuse {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// Why.
+        /// Reason that the caller gets.
         reason: RefusalReason,
-        /// When its caller may come back.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -1,13 +1,14 @@
-//! Which calls a guard lets into its target, and in which order.
+//! Admission control of a target: which calls its guard starts, and in which order.
 //!
-//! Pure: every event carries the time. As many calls run as the target answers
-//! fastest, which may be fewer than it has slots; a short queue holds the rest,
-//! ordered by priority, then by the account that is furthest below its share,
-//! then by deadline; in overload the newest first. While the host is in a slow
-//! spell, calls that would begin in it and be late wait until it is over, or are
-//! sent on to another target. At a target that is cold no more begin in a second
-//! than it bears; the order of the queue decides which. What can't be served in
-//! time is refused at once, but for room that nobody else needs.
+//! Every event carries the time. The number of running calls is limited to the number at
+//! which the target answers the most calls per second, which may be less than its slots.
+//! A short queue holds further calls, ordered by priority, then by account (the one that
+//! uses the least of its share first), then by earliest deadline; in overload, by newest
+//! arrival instead. While the host is in a slow period, calls that would be late if they
+//! started now wait for its end or are sent on to another target. A cold target starts at
+//! most as many calls per second as it can sustain; the queue order decides which. A call
+//! that can't be served in time is refused at once, unless it can use capacity that no
+//! other call needs.
 
 mod events;
 mod forecast;
@@ -24,76 +25,75 @@
 
 pub use events::{AdmissionAction, AdmissionEvent, WaitingCall};
 
-/// Waiting calls for each slot of the target.
+/// Maximum number of waiting calls for each call that may run at once.
 const QUEUE_PER_SLOT: usize = 2;
 
-/// A call that may still try another target queues only behind the slots'
-/// number divided by this.
-const SHORT_QUEUE_PART: usize = 4;
+/// A call that may still try another target waits only if fewer calls wait than the
+/// concurrency limit divided by this number.
+const SHORT_QUEUE_DIVISOR: usize = 4;
 
-/// A target has room to spare while no more than one in this many of the calls
-/// that it may run do.
-const SPARE_PART: usize = 2;
+/// A target has spare capacity while it runs fewer calls than its concurrency limit
+/// divided by this number.
+const SPARE_CAPACITY_DIVISOR: usize = 2;
 
-/// Weight of the newest service time in the smoothed one.
+/// Weight of the newest service time in the moving average.
 const SERVICE_WEIGHT: f64 = 0.2;
 
-/// Weight of the newest answer in the smoothed share of failures.
+/// Weight of the newest answer in the moving average of the failure rate.
 const FAILURE_WEIGHT: f64 = 0.1;
 
 /// Service time assumed before the first answer, in microseconds.
 const FIRST_SERVICE_US: f64 = 10_000.0;
 
-/// A call that has a slot.
+/// A call that occupies a slot.
 #[derive(Clone, Debug)]
 struct RunningCall {
     account: AccountName,
-    /// When it got its slot.
+    /// Time at which it started.
     since: MicroTime,
-    /// Its usual work, in microseconds; zero if unknown.
+    /// Expected service time on a host of normal speed, in microseconds; zero if unknown.
     work_us: u32,
-    /// Slowness of the host when it got its slot.
+    /// Slowness factor of the host when it started.
     slowness: f64,
-    /// [`AdmissionQueue::crowd`] when it got its slot.
-    crowd_then: f64,
+    /// [`AdmissionQueue::running_time_us`] when it started.
+    running_time_at_start: f64,
 }
 
 /// The admission queue of one target.
 ///
-/// Invariants: a call starts only while fewer than `limit` run and a cold target
-/// has room, and waits only while that many do, there is no such room, or the host
-/// is in a slow spell; each arrival gets exactly one `Start` or `Refuse`, unless
-/// cancelled.
+/// Invariants: a call starts only while fewer than `limit` calls run and the cold-start
+/// limit permits it; a call waits only if one of these limits is reached or the host is
+/// in a slow period; each arrival gets exactly one `Start` or `Refuse`, unless cancelled.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     limit: ConcurrencyLimit,
     speed: HostSpeed,
-    cold: ColdStartLimit,
-    /// Running calls, summed up over time, in microseconds.
-    crowd: f64,
+    cold_start: ColdStartLimit,
+    /// Integral over time of the number of running calls, in microseconds.
+    running_time_us: f64,
     running: HashMap<CallId, RunningCall>,
     waiting: Vec<WaitingCall>,
     service_us: f64,
-    /// As the target told it last, in percent; zero if it never did.
+    /// Latest slowness reported by the target, in percent; zero before the first report.
     slowness: u16,
     failing: f64,
     leaving: bool,
     sequence: u64,
-    /// When a call last waited in vain.
-    in_vain: Option<MicroTime>,
-    /// The time of the last event.
+    /// Latest time at which a call reached its queue deadline without a slot.
+    last_expiry: Option<MicroTime>,
+    /// Time of the latest event.
     now: MicroTime,
 }
 
 impl AdmissionQueue {
-    /// Opens the queue of a target that runs `slots` calls at once.
+    /// Creates the queue of a target that can run `slots` calls at once.
     #[must_use]
     pub fn open(slots: u16) -> Self {
         Self {
             limit: ConcurrencyLimit::open(slots),
             speed: HostSpeed::default(),
-            cold: ColdStartLimit::default(),
-            crowd: 0.0,
+            cold_start: ColdStartLimit::default(),
+            running_time_us: 0.0,
             running: HashMap::new(),
             waiting: Vec::new(),
             service_us: FIRST_SERVICE_US,
@@ -101,40 +101,40 @@
             failing: 0.0,
             leaving: false,
             sequence: 0,
-            in_vain: None,
+            last_expiry: None,
             now: MicroTime(0),
         }
     }
 
-    /// Takes one event and appends what follows from it.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn step(&mut self, now: MicroTime, event: AdmissionEvent, out: &mut Vec<AdmissionAction>) {
-        self.pass(now);
+        self.advance(now);
         match event {
             AdmissionEvent::Arrive(call) => self.arrive(call, out),
             AdmissionEvent::Finish { call, took, failed } => self.finish(call, took, failed),
             AdmissionEvent::Cancel(call) => {
                 self.waiting.retain(|waiting| waiting.call != call);
-                // It may have been started at the very moment its caller left.
+                // The call may have started just before its caller disconnected.
                 self.running.remove(&call);
             }
             AdmissionEvent::Tick => {}
         }
-        self.expire(out);
-        self.start(out);
+        self.expire_waiting(out);
+        self.start_waiting(out);
         self.check();
     }
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let full = !self.has_room();
-        let held = |call: &WaitingCall| full || self.should_wait(call);
-        debug_assert!(self.waiting.iter().all(held), "a call waits beside a free slot");
-        let runs = |call: &WaitingCall| self.running.contains_key(&call.call);
-        debug_assert!(!self.waiting.iter().any(runs), "a call waits and runs");
-        debug_assert!(!self.leaving || self.waiting.is_empty(), "a call waits for a leaver");
+        let full = !self.has_capacity();
+        let has_to_wait = |call: &WaitingCall| full || self.should_wait(call);
+        debug_assert!(self.waiting.iter().all(has_to_wait), "a call waits despite a free slot");
+        let is_running = |call: &WaitingCall| self.running.contains_key(&call.call);
+        debug_assert!(!self.waiting.iter().any(is_running), "a call is both waiting and running");
+        debug_assert!(!self.leaving || self.waiting.is_empty(), "a call waits at a leaving target");
     }
 
-    /// Refuses all that waits, and all that comes, from now on.
+    /// Refuses all waiting calls and, from now on, all arrivals.
     pub fn leave(&mut self, out: &mut Vec<AdmissionAction>) {
         self.leaving = true;
         let waiting = std::mem::take(&mut self.waiting);
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Opens the queue again after [`Self::leave`].
+    /// Accepts calls again after [`Self::leave`].
     pub fn rejoin(&mut self) {
         self.leaving = false;
     }
 
-    /// Tells whether the target is leaving.
+    /// Returns whether the target is leaving.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
@@ -159,19 +159,19 @@
         self.limit.resize(slots);
     }
 
-    /// Returns how many calls may run at once.
+    /// Returns the number of calls that may run at once.
     #[must_use]
     pub fn limit(&self) -> usize {
         self.limit.limit()
     }
 
-    /// Returns the load for the next message to an entry.
+    /// Returns a load report with a new sequence number, for the next message to an entry.
     pub fn next_report(&mut self, now: MicroTime) -> LoadReport {
         self.sequence += 1;
         LoadReport { told: now, ..self.current_report() }
     }
 
-    /// Returns the load as the last message told it, or newer.
+    /// Returns the present load under the sequence number of the last report.
     #[must_use]
     pub fn current_report(&self) -> LoadReport {
         LoadReport {
@@ -183,59 +183,61 @@
             failing: (self.failing * 1_000.0) as u16,
             sequence: self.sequence,
             told: self.now,
-            cold: self.cold.room(self.now),
+            cold: self.cold_start.room(self.now),
         }
     }
 
-    /// Notes how long work takes at this moment, in percent of the usual.
+    /// Records the slowness that the target reports: the present duration of work, in
+    /// percent of the normal one.
     ///
-    /// Calls that waited for this start with the next [`Self::step`].
+    /// Calls that can start because of it do so in the next [`Self::step`].
     pub fn note_slowness(&mut self, now: MicroTime, percent: u16) {
         self.speed.note(now, percent);
         self.slowness = percent;
     }
 
-    /// Returns the speed of the target's host.
+    /// Returns the observed speed of the target's host.
     #[must_use]
     pub const fn speed(&self) -> &HostSpeed {
         &self.speed
     }
 
-    /// Returns what is known of whether the target is cold.
+    /// Returns the limit on starts at a cold target.
     #[must_use]
     pub const fn cold_start(&self) -> &ColdStartLimit {
-        &self.cold
+        &self.cold_start
     }
 
-    /// Returns the same to note what was heard; calls that waited for it start with
-    /// the next [`Self::step`].
+    /// Returns the limit on starts at a cold target, to update it.
+    ///
+    /// Calls that can start because of it do so in the next [`Self::step`].
     pub const fn cold_start_mut(&mut self) -> &mut ColdStartLimit {
-        &mut self.cold
+        &mut self.cold_start
     }
 
-    /// Returns how much longer than usual a running call takes, since it began in
-    /// a slow spell of the host.
+    /// Returns the slowness factor of a running call: that of its host when the call
+    /// started. Returns 1 for a call that is not running.
     #[must_use]
     pub fn slowness_of(&self, call: CallId) -> f64 {
         self.running.get(&call).map_or(1.0, |running| running.slowness)
     }
 
-    /// Returns how many calls run.
+    /// Returns the number of running calls.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns how many calls wait.
+    /// Returns the number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Reckons up to `now` what runs.
-    fn pass(&mut self, now: MicroTime) {
-        let passed = now.since(self.now).0 as f64;
-        self.crowd += passed * self.running.len() as f64;
+    /// Updates the time-dependent state to `now`.
+    fn advance(&mut self, now: MicroTime) {
+        let elapsed = now.since(self.now).0 as f64;
+        self.running_time_us += elapsed * self.running.len() as f64;
         self.limit.advance(now, !self.waiting.is_empty());
         self.now = now;
     }
@@ -245,17 +247,17 @@
             out.push(self.refuse(call.call, RefusalReason::Leaving));
             return;
         }
-        if self.has_room() && self.waiting.is_empty() {
+        if self.has_capacity() && self.waiting.is_empty() {
             self.arrive_at_free_slot(call, out);
             return;
         }
         let ahead = self.waiting.iter().filter(|other| !self.goes_before(&call, other));
-        let cold = self.cold.wait_behind(self.now, ahead.clone().count());
-        if cold > MicroTime(0) && !call.last_target {
+        let cold_wait = self.cold_start.wait_behind(self.now, ahead.clone().count());
+        if cold_wait > MicroTime(0) && !call.last_target {
             out.push(self.refuse(call.call, RefusalReason::Cold));
             return;
         }
-        if self.now + self.wait_behind(ahead).max(cold) >= call.queue_deadline {
+        if self.now + self.wait_behind(ahead).max(cold_wait) >= call.queue_deadline {
             out.push(self.refuse(call.call, RefusalReason::TooLate));
             return;
         }
@@ -265,7 +267,7 @@
         }
         self.waiting.push(call);
         if self.waiting.len() > self.limit() * QUEUE_PER_SLOT {
-            self.evict(out);
+            self.evict_last(out);
         }
     }
 
@@ -277,50 +279,54 @@
         } else if self.should_wait(&call) {
             self.waiting.push(call);
         } else {
-            self.begin(call, out);
+            self.start_call(call, out);
         }
     }
 
-    /// Tells whether a call that could start should wait for the host to be
-    /// faster. One that is late anyway starts.
+    /// Returns whether a call that could start should wait for the end of the host's slow
+    /// period. A call that has reached its queue deadline does not wait.
     fn should_wait(&self, call: &WaitingCall) -> bool {
         call.queue_deadline > self.now && self.speed.is_worth_waiting(f64::from(call.work_us))
     }
 
-    /// Tells whether one more call may begin, as far as slots and a cold target go.
-    fn has_room(&self) -> bool {
-        self.running.len() < self.limit() && self.cold.may_start(self.now)
+    /// Returns whether the concurrency and cold-start limits permit one more call.
+    fn has_capacity(&self) -> bool {
+        self.running.len() < self.limit() && self.cold_start.may_start(self.now)
     }
 
+    /// Returns the number of waiting calls from which on calls that may still try another
+    /// target are refused.
     fn short_queue(&self) -> usize {
-        self.limit() / SHORT_QUEUE_PART
+        self.limit() / SHORT_QUEUE_DIVISOR
     }
 
     fn finish(&mut self, call: CallId, took: Option<MicroTime>, failed: bool) {
         let Some(ended) = self.running.remove(&call) else { return };
         let Some(took) = took else { return };
         self.failing += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failing);
-        // A fast failure says nothing of how long an answer takes.
+        // The time to a failure says nothing about the time to an answer.
         if !failed {
             self.service_us += SERVICE_WEIGHT * (took.0 as f64 - self.service_us);
-            self.note_stretch(&ended);
+            self.record_slowdown(&ended);
         }
     }
 
-    /// Tells the limit how much longer than usual an answered call took.
-    fn note_stretch(&mut self, ended: &RunningCall) {
+    /// Passes on to the concurrency limit by which factor an answered call took longer than
+    /// normal, apart from the host's slowness.
+    fn record_slowdown(&mut self, ended: &RunningCall) {
         let ran = self.now.since(ended.since).0 as f64;
         if ended.work_us == 0 || ran <= 0.0 {
             return;
         }
-        let beside = (self.crowd - ended.crowd_then) / ran;
-        let stretch = ran / ended.slowness / f64::from(ended.work_us);
-        self.limit.record(self.now, beside, stretch);
+        let concurrency = (self.running_time_us - ended.running_time_at_start) / ran;
+        let slowdown = ran / ended.slowness / f64::from(ended.work_us);
+        self.limit.record(self.now, concurrency, slowdown);
     }
 
-    /// Refuses what waited in vain; starts it where there is room to spare, since
-    /// a late answer is better than none.
-    fn expire(&mut self, out: &mut Vec<AdmissionAction>) {
+    /// Removes waiting calls that have reached their queue deadline. Those before their
+    /// caller's deadline start if there is spare capacity, since a late answer is better
+    /// than none; the others are refused.
+    fn expire_waiting(&mut self, out: &mut Vec<AdmissionAction>) {
         let mut index = 0;
         while index < self.waiting.len() {
             if self.waiting[index].queue_deadline > self.now {
@@ -328,21 +334,23 @@
                 continue;
             }
             let call = self.waiting.swap_remove(index);
-            self.in_vain = Some(self.now);
-            if call.deadline > self.now && self.has_room_to_spare() {
-                self.begin(call, out);
+            self.last_expiry = Some(self.now);
+            if call.deadline > self.now && self.has_spare_capacity() {
+                self.start_call(call, out);
             } else {
                 out.push(self.refuse(call.call, RefusalReason::TooLate));
             }
         }
     }
 
-    fn has_room_to_spare(&self) -> bool {
-        self.running.len() * SPARE_PART < self.limit() && self.cold.may_start(self.now)
+    fn has_spare_capacity(&self) -> bool {
+        self.running.len() * SPARE_CAPACITY_DIVISOR < self.limit()
+            && self.cold_start.may_start(self.now)
     }
 
-    fn start(&mut self, out: &mut Vec<AdmissionAction>) {
-        while self.has_room() {
+    /// Starts waiting calls in queue order while the limits permit it.
+    fn start_waiting(&mut self, out: &mut Vec<AdmissionAction>) {
+        while self.has_capacity() {
             let ready = |&index: &usize| !self.should_wait(&self.waiting[index]);
             let first = (0..self.waiting.len()).filter(ready).reduce(|first, index| {
                 let before = self.goes_before(&self.waiting[index], &self.waiting[first]);
@@ -350,20 +358,20 @@
             });
             let Some(first) = first else { return };
             let call = self.waiting.swap_remove(first);
-            self.begin(call, out);
+            self.start_call(call, out);
         }
     }
 
-    fn begin(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
+    fn start_call(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
         let running = RunningCall {
             account: call.account,
             since: self.now,
             work_us: call.work_us,
             slowness: self.speed.slowness(),
-            crowd_then: self.crowd,
+            running_time_at_start: self.running_time_us,
         };
         self.running.insert(call.call, running);
-        self.cold.record_start(self.now);
+        self.cold_start.record_start(self.now);
         out.push(AdmissionAction::Start(call.call));
     }
 
--- a/src/decide/admission/order.rs
+++ b/src/decide/admission/order.rs
@@ -1,35 +1,36 @@
-//! Which of the waiting calls starts first, and which is refused for lack of room.
+//! Order of the waiting calls: which one starts next, and which one a full queue drops.
 
 use super::{AdmissionAction, AdmissionQueue, RunningCall, WaitingCall};
 use crate::base::clock::MicroTime;
 use crate::base::wire::RefusalReason;
 
-/// Time after a call waited in vain for which the target counts as overloaded:
-/// a few times as long as calls wait.
-const OVERLOAD_LASTS: MicroTime = MicroTime::from_millis(1_000);
+/// Time for which the target counts as overloaded after a call has waited until its queue
+/// deadline: a few times as long as calls wait.
+const OVERLOAD_DURATION: MicroTime = MicroTime::from_millis(1_000);
 
 impl AdmissionQueue {
-    /// Refuses the last in the queue, which may be the newcomer.
-    pub(super) fn evict(&mut self, out: &mut Vec<AdmissionAction>) {
-        let newcomer = self.waiting.len() - 1;
-        let mut last = newcomer;
-        for index in 0..newcomer {
+    /// Refuses the last call of the queue order, which may be the newest arrival.
+    pub(super) fn evict_last(&mut self, out: &mut Vec<AdmissionAction>) {
+        let newest = self.waiting.len() - 1;
+        let mut last = newest;
+        for index in 0..newest {
             if self.goes_before(&self.waiting[last], &self.waiting[index]) {
                 last = index;
             }
         }
-        let reason = if last == newcomer { RefusalReason::Full } else { RefusalReason::Outranked };
+        let reason = if last == newest { RefusalReason::Full } else { RefusalReason::Outranked };
         let call = self.waiting.swap_remove(last).call;
         out.push(self.refuse(call, reason));
     }
 
+    /// Returns whether `left` starts before `right`.
     pub(super) fn goes_before(&self, left: &WaitingCall, right: &WaitingCall) -> bool {
         if left.priority != right.priority {
             return left.priority > right.priority;
         }
-        let (left_use, right_use) = (self.use_of(left), self.use_of(right));
-        if left.account != right.account && left_use != right_use {
-            return left_use < right_use;
+        let (left_usage, right_usage) = (self.share_usage(left), self.share_usage(right));
+        if left.account != right.account && left_usage != right_usage {
+            return left_usage < right_usage;
         }
         if self.is_overloaded() {
             return left.deadline > right.deadline;
@@ -37,16 +38,17 @@
         left.deadline < right.deadline
     }
 
-    /// Tells whether calls waited in vain of late.
+    /// Returns whether a call has recently waited until its queue deadline.
     ///
-    /// Then not all can be in time, and those that waited longest would be the
-    /// latest: of calls alike the newest goes first, with all of its time left.
+    /// In overload not all calls can be answered in time, and those that have waited
+    /// longest would be the latest. Among otherwise equal calls the newest therefore goes
+    /// first, since it has most of its time left.
     fn is_overloaded(&self) -> bool {
-        self.in_vain.is_some_and(|in_vain| self.now.since(in_vain) < OVERLOAD_LASTS)
+        self.last_expiry.is_some_and(|expiry| self.now.since(expiry) < OVERLOAD_DURATION)
     }
 
-    /// Returns the calls an account runs here, per thousand shares.
-    fn use_of(&self, call: &WaitingCall) -> usize {
+    /// Returns the number of calls the account is running here, per thousand shares.
+    fn share_usage(&self, call: &WaitingCall) -> usize {
         let same = |running: &&RunningCall| running.account == call.account;
         let own = self.running.values().filter(same).count();
         own * 1_000 / usize::from(call.share.max(1))
