--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -1,151 +1,162 @@
-//! How slow a target's host is at this moment, and whether work should wait for
-//! it to be faster.
+//! Present slowness of a target's host, and whether work should wait for it to end.
 //!
-//! Pure. Answers load that shifts within some hundred milliseconds: a host that
-//! is shared with others is several times slower for a short spell, then usual
-//! again. A target takes for a call what its host's slowness was when the call
-//! began, whatever follows (docs/design/overload.md has the measurement). So a
-//! call that begins in a slow spell holds its slot several times as long, and
-//! is late, where one that waits until the spell is over is in time.
+//! A host shared with other workloads is several times slower for some hundred
+//! milliseconds, then normal again. A call takes as long as its host's slowness at its
+//! start implies, whatever the slowness is later (measurement in docs/design/overload.md).
+//! A call that starts in a slow period therefore holds its slot several times as long and
+//! is late, whereas one that waits until the period is over is in time.
 
 use crate::base::clock::MicroTime;
 
-/// Slowness of a host at its usual speed, in percent.
-pub(crate) const USUAL_PERCENT: f64 = 100.0;
+/// Slowness of a host at its normal speed, in percent.
+pub(crate) const NORMAL_PERCENT: f64 = 100.0;
 
-/// Slowness that is believed at most, in percent: a greater one says no more than
-/// that nothing will be in time.
-const MOST_PERCENT: f64 = 5_000.0;
+/// Maximum slowness taken into account, in percent: at any greater one no call is in time
+/// either.
+const MAX_PERCENT: f64 = 5_000.0;
 
-/// Least slowness that can be told, as a factor.
-const LEAST_SLOWNESS: f64 = 1.0 / USUAL_PERCENT;
+/// Minimum slowness that a target can report, as a factor.
+const MIN_SLOWNESS: f64 = 1.0 / NORMAL_PERCENT;
 
-/// Multiple of the best recent slowness from which on a moment is a slow spell;
-/// below it, waiting gains less than a spell lasts.
-const SPELL_FROM: f64 = 1.5;
+/// Multiple of the best recent slowness from which on the host counts as slow. Below it,
+/// waiting gains less than the duration of a slow period.
+const SLOW_FACTOR: f64 = 1.5;
 
-/// Weight of the newest spell in the smoothed length of spells.
-const SPELL_WEIGHT: f64 = 0.2;
+/// Weight of the newest slow period in the moving average of their duration.
+const SLOW_PERIOD_WEIGHT: f64 = 0.2;
 
-/// Length of a slow spell before the first was seen to end, in microseconds: a
-/// few of the questions that a guard asks its target.
-const FIRST_SPELL_US: f64 = 200_000.0;
+/// Assumed duration of a slow period before the first one has ended, in microseconds: a few
+/// health checks of the guard.
+const INITIAL_SLOW_PERIOD_US: f64 = 200_000.0;
 
-/// Shortest and longest age of a report that wants a newer one: more often costs
-/// more than it tells, and a spell that lasts longer may still end soon.
+/// Bounds of the age at which a report is stale. More frequent reports cost more than they
+/// are worth, and a slow period that has lasted for long may still end soon.
 const STALE_BOUNDS: (MicroTime, MicroTime) =
     (MicroTime::from_millis(40), MicroTime::from_millis(100));
 
-/// Longest spell that is believed, in microseconds: no call waits that long.
-const LONGEST_SPELL_US: f64 = 2_000_000.0;
+/// Maximum duration of a slow period taken into account, in microseconds: no call waits
+/// that long.
+const MAX_SLOW_PERIOD_US: f64 = 2_000_000.0;
 
-/// Time over which the best slowness rises to what is told, in microseconds: some
-/// ten spells. A host that is slow for longer than that is taken as it is.
-const BEST_OVER_US: f64 = 2_000_000.0;
+/// Time constant with which the best slowness rises to the reported one, in microseconds:
+/// about ten slow periods. A host that is slow for longer counts as normal at that speed.
+const BEST_RISE_TIME_US: f64 = 2_000_000.0;
 
-/// The slowness of one host, as its target tells it.
+/// Slowness of one host over time, as reported by its target.
 ///
-/// Invariants: `slowness` and `best` are at least a hundredth and finite, and
+/// Invariants: `slowness` and `best` are finite and at least [`MIN_SLOWNESS`], and
 /// `best <= slowness`.
 #[derive(Clone, Copy, Debug)]
 pub struct HostSpeed {
-    /// The newest slowness, as a factor of the usual time.
+    /// Latest reported slowness, as a factor of the normal duration of work.
     slowness: f64,
-    /// The least slowness of late.
+    /// Best recent slowness, as a factor.
     best: f64,
-    /// Smoothed length of slow spells, in microseconds.
-    spell_us: f64,
-    /// When the present slow spell began.
-    spell_since: Option<MicroTime>,
-    /// When the newest report came; nothing before the first.
-    heard: Option<MicroTime>,
+    /// Moving average of the duration of slow periods, in microseconds.
+    slow_period_us: f64,
+    /// Start of the present slow period.
+    slow_since: Option<MicroTime>,
+    /// Time of the latest report; `None` before the first.
+    reported_at: Option<MicroTime>,
 }
 
 impl Default for HostSpeed {
     fn default() -> Self {
-        Self { slowness: 1.0, best: 1.0, spell_us: FIRST_SPELL_US, spell_since: None, heard: None }
+        Self {
+            slowness: 1.0,
+            best: 1.0,
+            slow_period_us: INITIAL_SLOW_PERIOD_US,
+            slow_since: None,
+            reported_at: None,
+        }
     }
 }
 
 impl HostSpeed {
-    /// Notes how long work takes now, in percent of the usual time; zero tells
-    /// nothing.
+    /// Records the reported duration of work in percent of the normal one; zero means that
+    /// the target reports none.
     pub fn note(&mut self, now: MicroTime, percent: u16) {
         if percent == 0 {
             return;
         }
-        self.slowness = f64::from(percent).min(MOST_PERCENT) / USUAL_PERCENT;
-        self.best = match self.heard {
-            Some(heard) if self.slowness > self.best => {
-                let kept = (-(now.since(heard).0 as f64) / BEST_OVER_US).exp();
-                let best = self.slowness + (self.best - self.slowness) * kept;
-                // What is rounded in between may leave the bounds.
-                best.clamp(LEAST_SLOWNESS, self.slowness)
+        self.slowness = f64::from(percent).min(MAX_PERCENT) / NORMAL_PERCENT;
+        self.best = match self.reported_at {
+            Some(reported_at) if self.slowness > self.best => {
+                let remaining = (-(now.since(reported_at).0 as f64) / BEST_RISE_TIME_US).exp();
+                let best = self.slowness + (self.best - self.slowness) * remaining;
+                // Rounding errors may exceed the bounds.
+                best.clamp(MIN_SLOWNESS, self.slowness)
             }
             _ => self.slowness,
         };
-        self.heard = Some(self.heard.map_or(now, |heard| heard.max(now)));
-        self.note_spell(now);
+        self.reported_at = Some(self.reported_at.map_or(now, |reported_at| reported_at.max(now)));
+        self.note_slow_period(now);
         self.check();
     }
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let sound = self.slowness.is_finite() && self.best >= LEAST_SLOWNESS;
-        debug_assert!(sound, "{} and {} are finite and positive", self.slowness, self.best);
-        debug_assert!(self.best <= self.slowness, "{} of {}", self.best, self.slowness);
+        let in_bounds = self.slowness.is_finite() && self.best >= MIN_SLOWNESS;
+        debug_assert!(in_bounds, "slowness {} or best {} out of bounds", self.slowness, self.best);
+        debug_assert!(
+            self.best <= self.slowness,
+            "best {} exceeds slowness {}",
+            self.best,
+            self.slowness
+        );
     }
 
-    fn note_spell(&mut self, now: MicroTime) {
+    /// Starts or ends the slow period according to the latest report.
+    fn note_slow_period(&mut self, now: MicroTime) {
         if self.is_slow() {
-            self.spell_since.get_or_insert(now);
-        } else if let Some(since) = self.spell_since.take() {
-            let lasted = (now.since(since).0 as f64).min(LONGEST_SPELL_US);
-            self.spell_us += SPELL_WEIGHT * (lasted - self.spell_us);
+            self.slow_since.get_or_insert(now);
+        } else if let Some(since) = self.slow_since.take() {
+            let duration = (now.since(since).0 as f64).min(MAX_SLOW_PERIOD_US);
+            self.slow_period_us += SLOW_PERIOD_WEIGHT * (duration - self.slow_period_us);
         }
     }
 
-    /// Tells whether the host is in a slow spell.
+    /// Returns whether the host is in a slow period.
     #[must_use]
     pub const fn is_slow(&self) -> bool {
-        self.slowness >= SPELL_FROM * self.best
+        self.slowness >= SLOW_FACTOR * self.best
     }
 
-    /// Returns the time until the present slow spell is expected to end; zero if there
-    /// is none, or if it lasts longer than spells did.
+    /// Returns the expected remaining time of the present slow period; zero if there is none
+    /// or if it has exceeded the average.
     #[must_use]
     pub fn slow_period_left(&self, now: MicroTime) -> MicroTime {
-        let Some(since) = self.spell_since else { return MicroTime(0) };
-        MicroTime(self.spell_us as u64).since(now.since(since))
+        let Some(since) = self.slow_since else { return MicroTime(0) };
+        MicroTime(self.slow_period_us as u64).since(now.since(since))
     }
 
-    /// Returns how much longer than usual a call takes that begins now.
+    /// Returns the factor by which a call that starts now takes longer than normal.
     #[must_use]
     pub const fn slowness(&self) -> f64 {
         self.slowness
     }
 
-    /// Returns after how long a report of slowness wants a newer one: within a quarter
-    /// of a spell few calls begin that do not know of it.
+    /// Returns the age at which a report of slowness should be refreshed: a quarter of a slow
+    /// period, in which few calls start on outdated information.
     #[must_use]
     pub fn stale_after(&self) -> MicroTime {
-        let quarter = MicroTime((self.spell_us / 4.0) as u64);
+        let quarter = MicroTime((self.slow_period_us / 4.0) as u64);
         quarter.clamp(STALE_BOUNDS.0, STALE_BOUNDS.1)
     }
 
-    /// Tells whether some work is done sooner if it begins after the present slow
-    /// spell.
+    /// Returns whether work that normally takes `work_us` is done sooner if it starts after
+    /// the present slow period.
     #[must_use]
     pub fn is_worth_waiting(&self, work_us: f64) -> bool {
-        self.is_slow() && work_us * self.slowness > self.spell_us + work_us * self.best
+        self.is_slow() && work_us * self.slowness > self.slow_period_us + work_us * self.best
     }
 
-    /// Estimates how long some work takes, the wait for a better moment included,
-    /// in microseconds.
+    /// Returns the expected time until work that normally takes `work_us` is done, including
+    /// a wait for the end of the slow period if that is worthwhile, in microseconds.
     #[must_use]
     pub fn expected_us(&self, work_us: f64) -> f64 {
         if self.is_worth_waiting(work_us) {
-            return self.spell_us + work_us * self.best;
+            return self.slow_period_us + work_us * self.best;
         }
         work_us * self.slowness
     }
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -1,260 +1,281 @@
-//! How many calls a target should run at once.
+//! Adaptive concurrency limit: how many calls a target should run at once.
 //!
-//! Pure. Answers overload: a target takes as many calls as it has slots, but
-//! many slow down when nearly full, so that the last calls it takes in cost
-//! more than they bring. The limit is the number of running calls at which the
-//! target was seen to answer most calls in a time.
+//! A target accepts as many calls as it has slots, but many targets slow down when nearly
+//! full, so that filling the last slots lowers their throughput. The limit is the number
+//! of running calls at which the target was observed to answer the most calls per second.
 //!
-//! Each answered call tells how much longer its work took than usual, with the
-//! slowness of the host taken out, and how many calls ran beside it. Levels of
-//! crowding are compared by calls answered in a time: those that run, divided
-//! by how much longer they take. The limit starts below the slots. While calls
-//! wait, another limit is tried now and then for a moment: a higher one, first
-//! all slots, then by halves, and in turn a lower one. A higher one stays where
-//! more calls were answered. A lower one stays only where clearly more were:
-//! single calls spread by half of their mean, and those that wait for deeper
-//! calls look as if they were crowded.
+//! For each answered call the limit records by which factor its work took longer than
+//! normal, with the slowness of the host divided out, and how many calls ran concurrently.
+//! Concurrency levels are compared by throughput: the number of running calls divided by
+//! that factor. The limit starts below the number of slots. While calls wait, another
+//! limit is tried from time to time for a short period: alternately a higher one (first
+//! all slots, then by bisection) and a lower one. A higher limit is adopted if its
+//! throughput was greater. A lower limit is adopted only if its throughput was clearly
+//! greater, because the times of single calls vary by half of their mean, and calls that
+//! wait for nested calls look like calls slowed down by concurrency.
 
 use serde::Serialize;
 
 use crate::base::clock::MicroTime;
-use crate::decide::selection::half_life;
+use crate::decide::selection::decay;
 
-/// Levels of crowding that are told apart, from [`LEAST_PART`] of the slots to
-/// all: steps of a sixteenth of the slots.
-const LEVELS: usize = 8;
+/// Number of steps between [`MIN_FRACTION`] of the slots and all of them: each step is a
+/// sixteenth of the slots.
+const LEVEL_STEPS: usize = 8;
 
-/// Part of the slots that the limit never falls below: a target that bends
-/// earlier has its slots set wrong.
-const LEAST_PART: f64 = 0.5;
+/// Fraction of the slots below which the limit never falls. A target that slows down
+/// earlier has too many slots configured.
+const MIN_FRACTION: f64 = 0.5;
 
-/// Part of the slots, rounded down, at which a target starts that nothing is known
-/// of. After a restart of the whole fleet there are more calls than slots at
-/// once, and to learn then that the last fifth costs more than it brings is too
-/// late.
-const FIRST_PART: f64 = 0.8;
+/// Fraction of the slots, rounded down, at which the limit of an unknown target starts.
+///
+/// After a restart of the whole fleet there are more calls than slots at once, and it
+/// would be too late to find out then that the last fifth of the slots lowers throughput.
+const INITIAL_FRACTION: f64 = 0.8;
 
-/// Answers at a level that it is judged by: their mean is known within a tenth
-/// where single calls spread by half, and to fill the last fifth of the slots
-/// brings a quarter or costs as much.
+/// Number of answers needed to judge a level. Their mean is known within a tenth if
+/// single calls vary by half, while filling the last fifth of the slots changes the
+/// throughput by a quarter in either direction.
 const MIN_SAMPLES: f64 = 24.0;
 
-/// Answers at a lower level after which it is no longer tried where it is not
-/// clearly better.
+/// Number of answers at a lower level after which that level is no longer tried unless it
+/// is clearly better.
 const MIN_SAMPLES_LOWERED: f64 = 96.0;
 
-/// Time for which another limit is tried: two to three times what most calls
-/// take.
-const TRIED_FOR: MicroTime = MicroTime::from_millis(600);
+/// Duration of a trial of another limit: two to three times the duration of most calls.
+const TRIAL_DURATION: MicroTime = MicroTime::from_millis(600);
 
-/// Time between two trials: where they bring nothing, a sixth of the time costs
-/// less than a twentieth of the answers.
-const TRIED_EVERY: MicroTime = MicroTime::from_millis(3_000);
+/// Time between two trials. Trials that bring nothing then take a sixth of the time and
+/// cost less than a twentieth of the answers.
+const TRIAL_INTERVAL: MicroTime = MicroTime::from_millis(3_000);
 
-/// Time after which limits that brought nothing are tried again.
-const TRIED_AGAIN: MicroTime = MicroTime::from_millis(30_000);
+/// Time after which rejected limits are tried again.
+const RETRIAL_INTERVAL: MicroTime = MicroTime::from_millis(30_000);
 
-/// Time in which what is known loses half its weight, in microseconds: some
-/// raised moments, and less than a target takes to change for good.
+/// Half-life of the statistics, in microseconds: several trials, and less than the time in
+/// which a target changes permanently.
 const HALF_LIFE_US: f64 = 10_000_000.0;
 
-/// Spread of one answer that is allowed for in a mean, as a part: twice what
-/// single calls spread by.
-const SPREAD: f64 = 1.0;
+/// Assumed relative deviation of one answer in the error of a mean: twice the deviation of
+/// single calls.
+const DEVIATION: f64 = 1.0;
 
-/// Longest and shortest time of a call that are believed, as factors of usual.
-const STRETCH_BOUNDS: (f64, f64) = (0.1, 10.0);
+/// Bounds to which the slowdown factor of a call is clamped.
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.1, 10.0);
 
-/// What is known of one level.
+/// Statistics of one concurrency level.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-struct LevelFigures {
-    /// The most running calls that belong to it.
-    most: usize,
-    /// Answers, the older ones with less weight.
+struct LevelStats {
+    /// Largest number of running calls that belongs to the level.
+    #[serde(rename = "most")]
+    max_running: usize,
+    /// Number of answers, with exponential decay.
     answers: f64,
-    /// Sum of their stretches, weighted alike.
-    stretch: f64,
+    /// Sum of the slowdown factors of these answers, with the same decay.
+    #[serde(rename = "stretch")]
+    slowdown_sum: f64,
 }
 
-/// What is known of some levels together.
-struct LevelRate {
+/// Combined statistics of several adjacent levels.
+struct LevelThroughput {
     answers: f64,
-    /// Calls answered in the usual time of one.
-    rate: f64,
+    /// Calls answered in the normal service time of one call.
+    throughput: f64,
 }
 
-/// Which limit holds at a moment.
+/// Phase of the trial cycle, which determines the limit in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-enum TrialTurn {
-    /// The limit itself; the trial before was a lower one.
-    Level,
-    /// A higher one, for a moment.
+enum TrialPhase {
+    /// The adopted level; the next trial is of a higher one.
+    #[serde(rename = "Level")]
+    BeforeRaised,
+    /// A trial of a higher level.
     Raised,
-    /// The limit itself; the trial before was a higher one.
-    LevelAgain,
-    /// A lower one, for a moment.
+    /// The adopted level; the next trial is of a lower one.
+    #[serde(rename = "LevelAgain")]
+    BeforeLowered,
+    /// A trial of a lower level.
     Lowered,
 }
 
-/// The limit of one target.
+/// Adaptive concurrency limit of one target.
 ///
-/// Invariants: `levels` is never empty, and its `most` grow from
-/// [`LEAST_PART`] of the slots, rounded up, to all of them; `lowered <= level <=
-/// raised`, and all three are indices of it.
+/// Invariants: `levels` is never empty, and `max_running` increases strictly from
+/// [`MIN_FRACTION`] of the slots, rounded up, to all of them; `lowered <= level <=
+/// raised`, and all three are indices into `levels`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConcurrencyLimit {
     slots: usize,
-    levels: Vec<LevelFigures>,
-    /// Index of the level that is allowed.
+    levels: Vec<LevelStats>,
+    /// Index of the adopted level.
     level: usize,
-    /// Index of the higher level to try; `level` if there is none left.
+    /// Index of the higher level to try; equal to `level` if there is none left.
     raised: usize,
-    /// Index of the lower level to try; `level` if there is none left.
+    /// Index of the lower level to try; equal to `level` if there is none left.
     lowered: usize,
-    turn: TrialTurn,
-    /// When the present turn began.
-    turned: MicroTime,
-    /// When no level was left to try.
-    settled: MicroTime,
-    /// When the figures were last aged.
-    aged: MicroTime,
+    #[serde(rename = "turn")]
+    phase: TrialPhase,
+    /// Time at which the present phase began.
+    #[serde(rename = "turned")]
+    phase_start: MicroTime,
+    /// Time at which no level was left to try.
+    #[serde(rename = "settled")]
+    settled_at: MicroTime,
+    /// Time up to which the decay of the statistics is applied.
+    #[serde(rename = "aged")]
+    decayed_at: MicroTime,
 }
 
 impl ConcurrencyLimit {
-    /// Opens the limit of a target that has `slots` slots.
+    /// Creates the limit of a target with `slots` slots.
     #[must_use]
     pub fn open(slots: u16) -> Self {
         let slots = usize::from(slots.max(1));
-        let parts = (0..=LEVELS).map(|step| step as f64 / LEVELS as f64);
-        let mosts = parts.map(|part| count_of(LEAST_PART + (1.0 - LEAST_PART) * part, slots));
-        let mut levels: Vec<LevelFigures> =
-            mosts.map(|most| LevelFigures { most, ..LevelFigures::default() }).collect();
-        levels.dedup_by_key(|figures| figures.most);
-        let first = (FIRST_PART * slots as f64) as usize;
-        let level = level_of(&levels, first);
+        let fractions = (0..=LEVEL_STEPS).map(|step| step as f64 / LEVEL_STEPS as f64);
+        let maxima = fractions
+            .map(|fraction| calls_of(MIN_FRACTION + (1.0 - MIN_FRACTION) * fraction, slots));
+        let mut levels: Vec<LevelStats> =
+            maxima.map(|max_running| LevelStats { max_running, ..LevelStats::default() }).collect();
+        levels.dedup_by_key(|stats| stats.max_running);
+        let initial = (INITIAL_FRACTION * slots as f64) as usize;
+        let level = level_of(&levels, initial);
         Self {
             slots,
             level,
             raised: levels.len() - 1,
             lowered: level / 2,
             levels,
-            turn: TrialTurn::Level,
-            turned: MicroTime(0),
-            settled: MicroTime(0),
-            aged: MicroTime(0),
+            phase: TrialPhase::BeforeRaised,
+            phase_start: MicroTime(0),
+            settled_at: MicroTime(0),
+            decayed_at: MicroTime(0),
         }
     }
 
-    /// Changes the number of slots; what is known of another number is forgotten.
+    /// Changes the number of slots; a different number discards all statistics.
     pub fn resize(&mut self, slots: u16) {
         if usize::from(slots.max(1)) != self.slots {
-            *self = Self { aged: self.aged, turned: self.turned, ..Self::open(slots) };
+            *self = Self {
+                decayed_at: self.decayed_at,
+                phase_start: self.phase_start,
+                ..Self::open(slots)
+            };
         }
     }
 
-    /// Returns how many calls may run at once.
+    /// Returns the number of calls that may run at once.
     #[must_use]
     pub fn limit(&self) -> usize {
-        let level = match self.turn {
-            TrialTurn::Level | TrialTurn::LevelAgain => self.level,
-            TrialTurn::Raised => self.raised,
-            TrialTurn::Lowered => self.lowered,
+        let level = match self.phase {
+            TrialPhase::BeforeRaised | TrialPhase::BeforeLowered => self.level,
+            TrialPhase::Raised => self.raised,
+            TrialPhase::Lowered => self.lowered,
         };
-        self.levels[level].most
+        self.levels[level].max_running
     }
 
-    /// Begins and ends trials; `wanted` while calls wait for a slot.
-    pub fn advance(&mut self, now: MicroTime, wanted: bool) {
-        let lasted = now.since(self.turned);
-        let may_begin = wanted && lasted >= TRIED_EVERY;
-        let next = match self.turn {
-            TrialTurn::Level if may_begin => TrialTurn::Raised,
-            TrialTurn::LevelAgain if may_begin => TrialTurn::Lowered,
-            TrialTurn::Raised if lasted >= TRIED_FOR => TrialTurn::LevelAgain,
-            TrialTurn::Lowered if lasted >= TRIED_FOR => TrialTurn::Level,
+    /// Starts and ends trials; `has_waiting` tells whether calls wait for a slot, without
+    /// which no trial starts.
+    pub fn advance(&mut self, now: MicroTime, has_waiting: bool) {
+        let elapsed = now.since(self.phase_start);
+        let may_start = has_waiting && elapsed >= TRIAL_INTERVAL;
+        let next = match self.phase {
+            TrialPhase::BeforeRaised if may_start => TrialPhase::Raised,
+            TrialPhase::BeforeLowered if may_start => TrialPhase::Lowered,
+            TrialPhase::Raised if elapsed >= TRIAL_DURATION => TrialPhase::BeforeLowered,
+            TrialPhase::Lowered if elapsed >= TRIAL_DURATION => TrialPhase::BeforeRaised,
             _ => return,
         };
-        self.turn = next;
-        self.turned = now;
-        if self.is_settled() && now.since(self.settled) >= TRIED_AGAIN {
-            self.try_around();
+        self.phase = next;
+        self.phase_start = now;
+        if self.is_settled() && now.since(self.settled_at) >= RETRIAL_INTERVAL {
+            self.reset_trials();
         }
         self.check();
     }
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let grow = self.levels.is_sorted_by(|left, right| left.most < right.most);
-        debug_assert!(grow, "levels grow: {:?}", self.levels);
-        let most = self.levels.last().map(|last| last.most);
-        debug_assert!(most == Some(self.slots), "the last level has all slots");
+        let increasing =
+            self.levels.is_sorted_by(|left, right| left.max_running < right.max_running);
+        debug_assert!(increasing, "levels are not increasing: {:?}", self.levels);
+        let maximum = self.levels.last().map(|last| last.max_running);
+        debug_assert!(maximum == Some(self.slots), "the last level does not have all slots");
         let ordered = self.lowered <= self.level && self.level <= self.raised;
-        debug_assert!(ordered, "{} to {} to {}", self.lowered, self.level, self.raised);
-        debug_assert!(self.raised < self.levels.len(), "{} is a level", self.raised);
+        debug_assert!(
+            ordered,
+            "lowered {}, level {} and raised {} are out of order",
+            self.lowered, self.level, self.raised
+        );
+        debug_assert!(self.raised < self.levels.len(), "no level has index {}", self.raised);
     }
 
+    /// Returns whether no other level is left to try.
     const fn is_settled(&self) -> bool {
         self.raised == self.level && self.lowered == self.level
     }
 
-    /// Has levels above and below the present one tried from now on.
-    fn try_around(&mut self) {
+    /// Selects new levels above and below the adopted one for the next trials.
+    fn reset_trials(&mut self) {
         self.raised = self.levels.len() - 1;
         self.lowered = self.level / 2;
     }
 
-    /// Notes an answered call: `beside` is the mean number of calls that ran
-    /// while it did, itself included, and `stretch` how much longer its work took
-    /// than usual.
-    pub fn record(&mut self, now: MicroTime, beside: f64, stretch: f64) {
-        if !stretch.is_finite() || !beside.is_finite() {
+    /// Records an answered call: `concurrency` is the mean number of calls that ran during
+    /// the call, itself included, and `slowdown` the factor by which its work took longer
+    /// than normal.
+    pub fn record(&mut self, now: MicroTime, concurrency: f64, slowdown: f64) {
+        if !slowdown.is_finite() || !concurrency.is_finite() {
             return;
         }
-        self.age(now);
-        let level = level_of(&self.levels, beside.round() as usize);
-        let figures = &mut self.levels[level];
-        figures.answers += 1.0;
-        figures.stretch += stretch.clamp(STRETCH_BOUNDS.0, STRETCH_BOUNDS.1);
-        self.judge(now);
+        self.decay_stats(now);
+        let level = level_of(&self.levels, concurrency.round() as usize);
+        let stats = &mut self.levels[level];
+        stats.answers += 1.0;
+        stats.slowdown_sum += slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
+        self.evaluate(now);
         self.check();
     }
 
-    fn age(&mut self, now: MicroTime) {
-        let passed = now.since(self.aged).0 as f64;
-        self.aged = self.aged.max(now);
-        let kept = half_life(passed, HALF_LIFE_US);
-        for figures in &mut self.levels {
-            figures.answers *= kept;
-            figures.stretch *= kept;
+    fn decay_stats(&mut self, now: MicroTime) {
+        let elapsed = now.since(self.decayed_at).0 as f64;
+        self.decayed_at = self.decayed_at.max(now);
+        let remaining = decay(elapsed, HALF_LIFE_US);
+        for stats in &mut self.levels {
+            stats.answers *= remaining;
+            stats.slowdown_sum *= remaining;
         }
     }
 
-    /// Moves the limit where enough is known.
-    fn judge(&mut self, now: MicroTime) {
+    /// Adopts or rejects the tried levels that have enough answers.
+    fn evaluate(&mut self, now: MicroTime) {
         if self.is_settled() {
             return;
         }
-        let Some(present) = self.rate(self.level.saturating_sub(1), self.level) else { return };
-        // What is known of a level that was just left judges none above the new one.
-        if !self.judge_lowered(&present) {
-            self.judge_raised(&present);
+        let Some(present) = self.throughput(self.level.saturating_sub(1), self.level) else {
+            return;
+        };
+        // After a decrease the statistics of the former level can't judge the levels above
+        // the new one.
+        if !self.evaluate_lowered(&present) {
+            self.evaluate_raised(&present);
         }
         if self.is_settled() {
-            self.settled = now;
+            self.settled_at = now;
         }
     }
 
-    /// Lowers the limit where clearly more was answered; `true` if it did.
-    fn judge_lowered(&mut self, present: &LevelRate) -> bool {
+    /// Adopts the lower level if its throughput was clearly greater; returns whether it did.
+    fn evaluate_lowered(&mut self, present: &LevelThroughput) -> bool {
         if self.lowered == self.level {
             return false;
         }
-        let Some(lowered) = self.rate(self.lowered, self.lowered) else { return false };
-        let spread = |known: &LevelRate| SPREAD / known.answers.sqrt();
-        let least = lowered.rate * (1.0 - spread(&lowered));
-        if least > present.rate * (1.0 + spread(present)) {
+        let Some(lowered) = self.throughput(self.lowered, self.lowered) else { return false };
+        let error = |measured: &LevelThroughput| DEVIATION / measured.answers.sqrt();
+        let lower_bound = lowered.throughput * (1.0 - error(&lowered));
+        if lower_bound > present.throughput * (1.0 + error(present)) {
             self.level = self.lowered;
-            self.try_around();
+            self.reset_trials();
             return true;
         }
         if lowered.answers >= MIN_SAMPLES_LOWERED {
@@ -263,39 +284,43 @@
         false
     }
 
-    fn judge_raised(&mut self, present: &LevelRate) {
+    /// Adopts the higher level if its throughput was greater; otherwise halves the distance
+    /// for the next trial.
+    fn evaluate_raised(&mut self, present: &LevelThroughput) {
         if self.raised == self.level {
             return;
         }
         let middle = self.level + (self.raised - self.level) / 2;
-        let Some(raised) = self.rate(middle + 1, self.raised) else { return };
-        if raised.rate > present.rate {
+        let Some(raised) = self.throughput(middle + 1, self.raised) else { return };
+        if raised.throughput > present.throughput {
             self.level = self.raised;
-            self.try_around();
+            self.reset_trials();
         } else {
             self.raised = middle;
         }
     }
 
-    /// Returns what is known of some levels together, if that is enough.
-    fn rate(&self, first: usize, last: usize) -> Option<LevelRate> {
+    /// Returns the throughput of the levels from `first` to `last`, or `None` if they have
+    /// too few answers.
+    fn throughput(&self, first: usize, last: usize) -> Option<LevelThroughput> {
         let levels = &self.levels[first..=last];
-        let answers: f64 = levels.iter().map(|figures| figures.answers).sum();
+        let answers: f64 = levels.iter().map(|stats| stats.answers).sum();
         if answers < MIN_SAMPLES {
             return None;
         }
-        let running: f64 = levels.iter().map(|known| known.answers * known.most as f64).sum();
-        let stretch: f64 = levels.iter().map(|known| known.stretch).sum();
-        Some(LevelRate { answers, rate: running / stretch })
+        let running: f64 =
+            levels.iter().map(|stats| stats.answers * stats.max_running as f64).sum();
+        let slowdown: f64 = levels.iter().map(|stats| stats.slowdown_sum).sum();
+        Some(LevelThroughput { answers, throughput: running / slowdown })
     }
 }
 
-/// Returns a part of the slots in whole calls, at least one.
-fn count_of(part: f64, slots: usize) -> usize {
-    ((part * slots as f64).ceil() as usize).clamp(1, slots)
+/// Returns a fraction of the slots in whole calls, rounded up, at least one.
+fn calls_of(fraction: f64, slots: usize) -> usize {
+    ((fraction * slots as f64).ceil() as usize).clamp(1, slots)
 }
 
-/// Returns the level that a number of running calls belongs to.
-fn level_of(levels: &[LevelFigures], calls: usize) -> usize {
-    levels.iter().position(|figures| calls <= figures.most).unwrap_or(levels.len() - 1)
+/// Returns the index of the level that a number of running calls belongs to.
+fn level_of(levels: &[LevelStats], running: usize) -> usize {
+    levels.iter().position(|stats| running <= stats.max_running).unwrap_or(levels.len() - 1)
 }
--- a/src/decide/registry.rs
+++ b/src/decide/registry.rs
@@ -1,6 +1,6 @@
-//! What an entry knows of all targets, by service.
+//! Targets known to an entry, by service.
 //!
-//! Pure: the fleet's view comes in, choices go out by a policy of `selection`.
+//! The registry is updated from the fleet view; targets are chosen by a policy of `selection`.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -16,22 +16,25 @@
     CallEstimate, SelectionInput, SelectionPolicy, TargetLocation, TargetRecord,
 };
 
-/// The targets of one service as an entry sees them.
+/// Targets of one service known to an entry.
 #[derive(Debug, Default, Serialize)]
 pub struct ServiceTargets {
     /// The targets, in no particular order.
     pub targets: Vec<TargetRecord>,
+    /// Number of choices made so far.
     turn: usize,
 }
 
 impl ServiceTargets {
-    /// Makes the targets of one service.
+    /// Creates the set of a service's targets.
     #[must_use]
     pub const fn new(targets: Vec<TargetRecord>) -> Self {
         Self { targets, turn: 0 }
     }
 
-    /// Chooses a target that is not in `tried`, or any untried if all are avoided.
+    /// Chooses a target that is not in `tried`; one to be avoided only if there is no other.
+    ///
+    /// Returns its index, and counts a call as outstanding there.
     pub fn choose(
         &mut self,
         now: MicroTime,
@@ -42,7 +45,7 @@
         self.choose_for(now, policy, tried, &CallEstimate::default(), rng)
     }
 
-    /// Chooses as [`Self::choose`] does, for a call that something is known of.
+    /// Chooses like [`Self::choose`], for a call with an estimate of its properties.
     pub fn choose_for(
         &mut self,
         now: MicroTime,
@@ -53,10 +56,10 @@
     ) -> Option<usize> {
         let untried = |&index: &usize| !tried.contains(&self.targets[index].name);
         let mut eligible: Vec<usize> = (0..self.targets.len()).filter(untried).collect();
-        let is_calm = |&index: &usize| !self.targets[index].is_avoided(now);
-        let calm: Vec<usize> = eligible.iter().copied().filter(is_calm).collect();
-        if !calm.is_empty() {
-            eligible = calm;
+        let is_preferred = |&index: &usize| !self.targets[index].is_avoided(now);
+        let preferred: Vec<usize> = eligible.iter().copied().filter(is_preferred).collect();
+        if !preferred.is_empty() {
+            eligible = preferred;
         }
         if eligible.is_empty() {
             return None;
@@ -74,9 +77,11 @@
         Some(index)
     }
 
-    /// Chooses for a request that may end the target that runs it: the one that every
-    /// entry chooses, of those that would serve it in time, so that several copies at
-    /// once end one target and not one each. Nothing where none would.
+    /// Chooses a target for a request that is suspected of crashing targets.
+    ///
+    /// Uses rendezvous hashing over the targets that would likely serve the request in time, so
+    /// that all entries choose the same target and several simultaneous copies crash one target
+    /// rather than one each. Returns `None` if no target would serve it in time.
     pub fn choose_by_digest(
         &mut self,
         now: MicroTime,
@@ -87,37 +92,38 @@
         let fits = |target: &TargetRecord| {
             !tried.contains(&target.name) && benefit::is_promising(target, now, estimate)
         };
-        let order = |target: &TargetRecord| {
+        let rank = |target: &TargetRecord| {
             RequestDigest::of(&[&digest.0.to_le_bytes(), target.name.as_str().as_bytes()])
         };
         let fitting = self.targets.iter().enumerate().filter(|(_, target)| fits(target));
-        let (index, _) = fitting.max_by_key(|(_, target)| order(target))?;
+        let (index, _) = fitting.max_by_key(|(_, target)| rank(target))?;
         self.targets[index].outstanding += 1;
         Some(index)
     }
 
-    /// Finds a target by name.
+    /// Returns the target with a name.
     pub fn find(&mut self, name: &TargetName) -> Option<&mut TargetRecord> {
         self.targets.iter_mut().find(|target| target.name == *name)
     }
 }
 
-/// Everything an entry knows of targets, by service.
+/// All targets known to an entry, by service.
 #[derive(Debug, Default, Serialize)]
 pub struct TargetRegistry {
-    /// Services by name.
+    /// Targets by service name.
     pub services: HashMap<ServiceName, ServiceTargets>,
 }
 
 impl TargetRegistry {
-    /// Finds a target of a service by name.
+    /// Returns the target of a service with a name.
     pub fn find(&mut self, service: &ServiceName, name: &TargetName) -> Option<&mut TargetRecord> {
         self.services.get_mut(service)?.find(name)
     }
 
-    /// Takes over who is there, keeping what is known of those that stay.
+    /// Updates the registry to a new fleet view; the records of remaining targets are kept.
     ///
-    /// `centre` is the entry's own data centre; those in `evacuated` have no targets.
+    /// `centre` is the entry's own data centre. Targets of the data centres in `evacuated` are
+    /// left out.
     pub fn update(
         &mut self,
         now: MicroTime,
@@ -125,37 +131,44 @@
         centre: &CentreName,
         evacuated: &BTreeSet<CentreName>,
     ) {
-        let mut fresh: HashMap<ServiceName, ServiceTargets> = HashMap::new();
+        let mut updated: HashMap<ServiceName, ServiceTargets> = HashMap::new();
         for member in view.serving().filter(|member| !evacuated.contains(&member.data_centre)) {
-            let place = TargetLocation {
+            let location = TargetLocation {
                 host: member.host.clone(),
                 data_centre: member.data_centre.clone(),
                 incarnation: member.incarnation,
                 guard: member.guard,
             };
             for target in member.targets.iter().filter(|target| target.ready) {
-                let known = self.take(&target.service, &target.name, &place);
-                let joins = || {
-                    TargetRecord::new(target.name.clone(), Some(place.clone()), target.slots, now)
+                let known = self.take(&target.service, &target.name, &location);
+                let joined = || {
+                    TargetRecord::new(
+                        target.name.clone(),
+                        Some(location.clone()),
+                        target.slots,
+                        now,
+                    )
                 };
-                let mut record = known.unwrap_or_else(joins);
+                let mut record = known.unwrap_or_else(joined);
                 record.remote = member.data_centre != *centre;
                 record.suspect = member.is_suspect();
-                fresh.entry(target.service.clone()).or_default().targets.push(record);
+                updated.entry(target.service.clone()).or_default().targets.push(record);
             }
         }
-        self.services = fresh;
+        self.services = updated;
     }
 
+    /// Removes and returns the record of a target at a location, if it is known.
     fn take(
         &mut self,
         service: &ServiceName,
         name: &TargetName,
-        place: &TargetLocation,
+        location: &TargetLocation,
     ) -> Option<TargetRecord> {
         let targets = &mut self.services.get_mut(service)?.targets;
-        let same =
-            |target: &TargetRecord| target.name == *name && target.location.as_ref() == Some(place);
+        let same = |target: &TargetRecord| {
+            target.name == *name && target.location.as_ref() == Some(location)
+        };
         let index = targets.iter().position(same)?;
         Some(targets.swap_remove(index))
     }
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -1,7 +1,7 @@
-//! Which target an entry sends a call to.
+//! Target selection: which target an entry sends a call to.
 //!
-//! Pure: policies see one service's candidates and choose an index. They are
-//! rows that register themselves; a template names the one it wants.
+//! A policy sees the eligible targets of one service and returns the index of one. Policies
+//! register themselves by name; a service template names the one it uses.
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -12,108 +12,111 @@
 use crate::base::wire::LoadReport;
 use crate::decide::clock_offset::ClockOffset;
 
-/// Name of the policy of a template that names none.
+/// Name of the policy used by a template that names none.
 pub const DEFAULT_POLICY: &str = "expected_completion";
 
-/// Weight of the newest latency in an entry's own smoothed one.
+/// Weight of the newest latency in an entry's moving average.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// Age at which a load report has lost half its weight, in microseconds.
+/// Half-life of the information in a load report, in microseconds.
 const LOAD_HALF_LIFE_US: f64 = 50_000.0;
 
-/// Age at which a service time is half forgotten, in microseconds.
+/// Half-life of the information in a reported service time, in microseconds.
 const SERVICE_HALF_LIFE_US: f64 = 4_000_000.0;
 
-/// What a target not heard of for long is hoped to take, as a part of the best.
-const PRIOR_PART: f64 = 0.9;
+/// Service time expected of a target without a recent report, as a fraction of the best one.
+const PRIOR_FACTOR: f64 = 0.9;
 
-/// Service time assumed of a target never heard of, in microseconds.
+/// Service time assumed for a target without any report, in microseconds.
 const UNKNOWN_SERVICE_US: f64 = 5_000.0;
 
-/// Candidates that the expected-completion policy compares.
-const COMPARED: usize = 3;
+/// Number of random candidates that the expected-completion policy compares.
+const COMPARED_TARGETS: usize = 3;
 
-/// Weight of the part of a target's slots in use, before any call waits.
+/// Weight of the utilisation of a target's slots, apart from the wait for a slot.
 ///
-/// Greater spreads calls wider and survives bursts better, smaller keeps them
-/// on the fast hosts; docs/design/policy.md has the table.
-const CROWDING: f64 = 1.5;
+/// A greater weight spreads calls more widely and handles bursts better; a smaller one keeps
+/// them on the fast hosts. docs/design/policy.md has a table.
+const UTILISATION_WEIGHT: f64 = 1.5;
 
-/// Time over which a target that joined gets its full part of the load.
+/// Time after joining in which a target's share of the load rises to its full value, in
+/// microseconds.
 const SLOW_START_US: f64 = 5_000_000.0;
 
-/// How many times the service time a failed answer is taken to cost.
+/// Cost of a failed answer, in service times.
 const FAILURE_COST: f64 = 8.0;
 
-/// Failures in a row after which a target is left alone for a while.
+/// Number of consecutive failures after which a target is ejected: not chosen for a while.
 const EJECT_AFTER: u32 = 5;
 
-/// First time a target is left alone; doubles up to 32 times as long.
-const EJECT_FOR: MicroTime = MicroTime::from_millis(250);
+/// Duration of the first ejection; it doubles with each further failure, up to 32 times.
+const EJECTION_TIME: MicroTime = MicroTime::from_millis(250);
 
-/// Time since the last report of a target after which the fleet's doubt counts for more:
-/// one that is in use here tells of itself several times as often.
-const HEARD_LATELY: MicroTime = MicroTime::from_millis(500);
+/// Age of a target's latest report from which on the fleet's suspicion of its host counts for
+/// more than the report. A target in use here reports several times as often.
+const RECENT_REPORT: MicroTime = MicroTime::from_millis(500);
 
-/// Where a target is, and whose.
+/// Location of a target and its guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetLocation {
-    /// Its host.
+    /// Host of the target.
     pub host: HostName,
-    /// The host's data centre.
+    /// Data centre of the host.
     pub data_centre: CentreName,
-    /// The life of its guard.
+    /// Incarnation of its guard.
     pub incarnation: DaemonIncarnation,
-    /// Where its guard listens.
+    /// Address at which its guard listens.
     pub guard: std::net::SocketAddr,
 }
 
-/// What an entry knows of one target.
+/// Information of an entry about one target.
 #[derive(Clone, Debug, Serialize)]
 pub struct TargetRecord {
-    /// The target's name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Where it is; nothing in a bench.
+    /// Location of the target; `None` in benchmarks.
     #[serde(rename = "place")]
     pub location: Option<TargetLocation>,
-    /// Calls this entry has under way there. Exact.
+    /// Exact number of calls of this entry that are in progress at the target.
     pub outstanding: u32,
-    /// The newest load report.
+    /// Newest load report.
     pub load: LoadReport,
-    /// When that report came; zero if none came yet.
+    /// Time that the newest report describes: its arrival minus its transit delay. Zero before
+    /// the first report.
     #[serde(rename = "heard")]
     pub reported_at: MicroTime,
-    /// Own calls under way when that report came.
+    /// Value of `outstanding` when the newest report arrived.
     #[serde(rename = "outstanding_then")]
     pub outstanding_at_report: u32,
-    /// Smoothed latency of this entry's calls, in microseconds.
+    /// Moving average of the latency of this entry's calls, in microseconds.
     pub latency_us: f64,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Not chosen before this time.
+    /// Time until which the target is ejected.
     pub ejected_until: MicroTime,
-    /// Whether the fleet doubts that its host is alive.
+    /// Whether the fleet suspects that its host is down.
     pub suspect: bool,
-    /// When the target joined, for its slow start.
-    pub joined: MicroTime,
-    /// Whether its host is in another data centre than the entry's.
+    /// Time at which the target joined, for its slow start.
+    #[serde(rename = "joined")]
+    pub joined_at: MicroTime,
+    /// Whether its host is in another data centre than the entry.
     #[serde(rename = "far")]
     pub remote: bool,
-    /// Whether its guard tells this entry each change of its load.
+    /// Whether its guard sends this entry a report whenever the target's load changes.
     pub watched: bool,
-    /// The lead of its guard's clock; nothing before the first report.
+    /// Offset of its guard's clock; `None` before the first report.
     #[serde(rename = "clock_lead")]
     pub clock_offset: Option<ClockOffset>,
 }
 
 impl TargetRecord {
-    /// Makes the record of a target that joins now.
+    /// Creates the record of a target that joins at `joined_at`.
     #[must_use]
     pub fn new(
         name: TargetName,
         location: Option<TargetLocation>,
         slots: u16,
-        joined: MicroTime,
+        joined_at: MicroTime,
     ) -> Self {
         Self {
             name,
@@ -126,31 +129,31 @@
             failures: 0,
             ejected_until: MicroTime(0),
             suspect: false,
-            joined,
+            joined_at,
             remote: false,
             watched: false,
             clock_offset: None,
         }
     }
 
-    /// Notes a load report, unless a newer one is known.
+    /// Records a load report, unless a newer one is known.
     pub fn record_report(&mut self, now: MicroTime, load: LoadReport) {
         if load.sequence <= self.load.sequence {
             return;
         }
-        let clock = self.clock_offset.get_or_insert_with(|| ClockOffset::open(now, load.told));
-        let held_up = clock.update(now, load.told);
+        let offset = self.clock_offset.get_or_insert_with(|| ClockOffset::open(now, load.told));
+        let delay = offset.update(now, load.told);
         self.load = load;
-        // Held up on its way, a report is as old as that.
-        self.reported_at = now - held_up;
+        // A report that was delayed in transit is that much older.
+        self.reported_at = now - delay;
         self.outstanding_at_report = self.outstanding;
     }
 
-    /// Notes how a call of this entry ended; `latency` only if it was answered.
+    /// Records the end of a call of this entry; `latency` is given only if it was answered.
     pub fn finish(&mut self, now: MicroTime, latency: Option<MicroTime>, failed: bool) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if failed {
-            self.fail(now);
+            self.record_failure(now);
             return;
         }
         if let Some(latency) = latency {
@@ -161,28 +164,28 @@
         }
     }
 
-    /// Leaves a target alone at once whose guard can't be reached.
+    /// Ejects a target at once whose guard can't be reached.
     pub fn eject(&mut self, now: MicroTime) {
         self.failures = self.failures.max(EJECT_AFTER - 1);
-        self.fail(now);
+        self.record_failure(now);
     }
 
-    /// Tells whether it is left alone while there are others: its calls failed here,
-    /// or the fleet doubts its host and nothing was heard of it here for a while.
+    /// Returns whether the target is avoided while there are others: it is ejected, or its host
+    /// is suspect and there is no recent report.
     pub(crate) fn is_avoided(&self, now: MicroTime) -> bool {
-        let silent = now.since(self.reported_at) >= HEARD_LATELY;
+        let silent = now.since(self.reported_at) >= RECENT_REPORT;
         self.ejected_until > now || (self.suspect && silent)
     }
 
-    fn fail(&mut self, now: MicroTime) {
+    fn record_failure(&mut self, now: MicroTime) {
         self.failures += 1;
         if self.failures >= EJECT_AFTER {
             let doublings = (self.failures - EJECT_AFTER).min(5);
-            self.ejected_until = now + MicroTime(EJECT_FOR.0 << doublings);
+            self.ejected_until = now + MicroTime(EJECTION_TIME.0 << doublings);
         }
     }
 
-    /// Returns the time the target takes for a call, in microseconds.
+    /// Returns the reported service time of a call, or an assumed one, in microseconds.
     #[must_use]
     pub fn service_us(&self) -> f64 {
         match self.load.service_us {
@@ -191,44 +194,49 @@
         }
     }
 
-    /// Estimates how many calls a call sent now would find there: the own ones,
-    /// and of the others what was told, halved every `half_life_us` since.
-    pub(crate) fn ahead(&self, now: MicroTime, half_life_us: f64) -> f64 {
+    /// Returns the expected number of calls at the target when a call sent now arrives: this
+    /// entry's own, plus the reported number of others, halved for every `half_life_us` of the
+    /// report's age.
+    pub(crate) fn calls_ahead(&self, now: MicroTime, half_life_us: f64) -> f64 {
         let age = now.since(self.reported_at).0 as f64;
-        let told = f64::from(self.load.in_flight + self.load.queued);
-        let others = (told - f64::from(self.outstanding_at_report)).max(0.0);
-        others * half_life(age, half_life_us) + f64::from(self.outstanding)
+        let reported = f64::from(self.load.in_flight + self.load.queued);
+        let others = (reported - f64::from(self.outstanding_at_report)).max(0.0);
+        others * decay(age, half_life_us) + f64::from(self.outstanding)
     }
 
-    /// Estimates when a call sent now would be answered, in microseconds.
+    /// Returns the expected time to the answer of a call sent now, weighted by the risk of a
+    /// failure, in microseconds.
     ///
-    /// `best_us` is the least service time of all candidates: what was slow long
-    /// ago is hoped to beat the best by now, or it would never be tried again.
+    /// `best_us` is the shortest service time of all candidates. A reported service time loses
+    /// weight with age in favour of one slightly better than the best; otherwise a target that
+    /// was once slow would never be tried again.
     fn expected_us(&self, now: MicroTime, best_us: f64) -> f64 {
         let slots = f64::from(self.load.slots.max(1));
         let age = now.since(self.reported_at).0 as f64;
-        let known = half_life(age, SERVICE_HALF_LIFE_US);
-        let hoped = PRIOR_PART * best_us;
-        let service = hoped + (self.service_us() - hoped) * known;
-        let ahead = self.ahead(now, LOAD_HALF_LIFE_US);
+        let weight = decay(age, SERVICE_HALF_LIFE_US);
+        let prior = PRIOR_FACTOR * best_us;
+        let service = prior + (self.service_us() - prior) * weight;
+        let ahead = self.calls_ahead(now, LOAD_HALF_LIFE_US);
         let wait = (ahead + 1.0 - slots).max(0.0) / slots;
-        let crowding = ahead / slots;
+        let utilisation = ahead / slots;
         let failing = f64::from(self.load.failing) / 1_000.0;
-        let cost = service * (1.0 + wait + CROWDING * crowding) * (1.0 + FAILURE_COST * failing);
-        let ramp = now.since(self.joined).0 as f64 / SLOW_START_US;
+        let cost = service
+            * (1.0 + wait + UTILISATION_WEIGHT * utilisation)
+            * (1.0 + FAILURE_COST * failing);
+        let ramp = now.since(self.joined_at).0 as f64 / SLOW_START_US;
         cost / ramp.clamp(0.1, 1.0)
     }
 }
 
-/// What an entry knows of a call before it chooses a target.
+/// Properties of a call that are estimated before a target is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct CallEstimate {
-    /// Time a target at its usual speed takes, in microseconds; zero if unknown.
+    /// Expected service time on a host of normal speed, in microseconds; zero if unknown.
     pub work_us: f64,
     /// Time left to the latency objective, in microseconds.
     pub objective_us: f64,
-    /// What its bytes cost if they cross to another data centre, as a part of
-    /// the benefit of one call.
+    /// Cost of sending its bytes to another data centre, as a fraction of the benefit of one
+    /// call.
     pub crossing_cost: f64,
 }
 
@@ -238,39 +246,39 @@
     }
 }
 
-/// The input of one choice.
+/// Input of a policy.
 #[derive(Debug)]
 pub struct SelectionInput<'a> {
-    /// The time.
+    /// Present time.
     pub now: MicroTime,
     /// All targets of the service.
     pub targets: &'a [TargetRecord],
-    /// Indices that may be chosen; never empty.
+    /// Indices of the targets that may be chosen; never empty.
     pub eligible: &'a [usize],
-    /// Calls chosen so far, for policies that take turns.
+    /// Number of choices made so far, for round-robin policies.
     pub turn: usize,
-    /// What is known of the call.
+    /// Estimated properties of the call.
     pub estimate: &'a CallEstimate,
 }
 
-/// One way to choose, as plug-ins register it.
+/// A selection policy, as plug-ins register it.
 #[derive(Debug)]
 pub struct SelectionPolicy {
-    /// The name that templates use.
+    /// Name by which templates refer to the policy.
     pub name: &'static str,
-    /// Chooses one of `eligible`.
+    /// Function that returns one of the `eligible` indices.
     pub choose: fn(&SelectionInput<'_>, &mut Pcg64Mcg) -> usize,
 }
 
 inventory::collect!(SelectionPolicy);
 
-/// Returns a registered policy by name.
+/// Returns the registered policy with a name.
 #[must_use]
 pub fn policy(name: &str) -> Option<&'static SelectionPolicy> {
     inventory::iter::<SelectionPolicy>.into_iter().find(|policy| policy.name == name)
 }
 
-/// Returns the policy of a template that names none.
+/// Returns the policy used by a template that names none.
 #[must_use]
 pub fn default_policy() -> &'static SelectionPolicy {
     &EXPECTED_COMPLETION
@@ -286,50 +294,52 @@
 }
 
 inventory::submit! { SelectionPolicy { name: "random", choose: choose_random } }
-inventory::submit! { SelectionPolicy { name: "round_robin", choose: choose_in_turn } }
-inventory::submit! { SelectionPolicy { name: "least_outstanding", choose: choose_idlest } }
-inventory::submit! { SelectionPolicy { name: "two_choices", choose: choose_of_two } }
-inventory::submit! { SelectionPolicy { name: "latency", choose: choose_fastest } }
+inventory::submit! { SelectionPolicy { name: "round_robin", choose: choose_round_robin } }
+inventory::submit! {
+    SelectionPolicy { name: "least_outstanding", choose: choose_least_outstanding }
+}
+inventory::submit! { SelectionPolicy { name: "two_choices", choose: choose_two_choices } }
+inventory::submit! { SelectionPolicy { name: "latency", choose: choose_lowest_latency } }
 inventory::submit! { EXPECTED_COMPLETION }
 
 const EXPECTED_COMPLETION: SelectionPolicy =
-    SelectionPolicy { name: DEFAULT_POLICY, choose: choose_soonest };
+    SelectionPolicy { name: DEFAULT_POLICY, choose: choose_expected_completion };
 
 fn choose_random(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
     input.eligible[rng.random_range(0..input.eligible.len())]
 }
 
-fn choose_in_turn(input: &SelectionInput<'_>, _: &mut Pcg64Mcg) -> usize {
+fn choose_round_robin(input: &SelectionInput<'_>, _: &mut Pcg64Mcg) -> usize {
     input.eligible[input.turn % input.eligible.len()]
 }
 
-fn choose_idlest(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
-    least(input.eligible, rng, |index| f64::from(input.targets[index].outstanding))
+fn choose_least_outstanding(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
+    lowest_cost(input.eligible, rng, |index| f64::from(input.targets[index].outstanding))
 }
 
-fn choose_of_two(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
+fn choose_two_choices(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
     let pair = sample(input.eligible, 2, rng);
-    least(&pair, rng, |index| f64::from(input.targets[index].outstanding))
+    lowest_cost(&pair, rng, |index| f64::from(input.targets[index].outstanding))
 }
 
-fn choose_fastest(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
+fn choose_lowest_latency(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
     let pair = sample(input.eligible, 2, rng);
-    least(&pair, rng, |index| input.targets[index].latency_us)
+    lowest_cost(&pair, rng, |index| input.targets[index].latency_us)
 }
 
-fn choose_soonest(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
-    let some = sample(input.eligible, COMPARED, rng);
+fn choose_expected_completion(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
+    let candidates = sample(input.eligible, COMPARED_TARGETS, rng);
     let services = input.eligible.iter().map(|&index| input.targets[index].service_us());
     let best_us = services.fold(f64::INFINITY, f64::min);
-    least(&some, rng, |index| input.targets[index].expected_us(input.now, best_us))
+    lowest_cost(&candidates, rng, |index| input.targets[index].expected_us(input.now, best_us))
 }
 
-/// Returns what is left after `age` of something that halves in `half_life`.
-pub(crate) fn half_life(age: f64, half_life: f64) -> f64 {
+/// Returns the fraction left after `age` of a quantity that halves every `half_life`.
+pub(crate) fn decay(age: f64, half_life: f64) -> f64 {
     (-age / half_life * std::f64::consts::LN_2).exp()
 }
 
-/// Draws up to `count` different indices.
+/// Draws up to `count` different indices at random.
 fn sample(eligible: &[usize], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let mut drawn: Vec<usize> = Vec::with_capacity(count);
     if eligible.len() <= count {
@@ -344,8 +354,8 @@
     drawn
 }
 
-/// Returns the index of least cost; ties are drawn.
-fn least(indices: &[usize], rng: &mut Pcg64Mcg, cost: impl Fn(usize) -> f64) -> usize {
+/// Returns the index of the lowest cost; ties are broken at random.
+fn lowest_cost(indices: &[usize], rng: &mut Pcg64Mcg, cost: impl Fn(usize) -> f64) -> usize {
     let mut best = indices[0];
     let mut best_cost = cost(best);
     let mut ties = 1;
