--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -1,14 +1,13 @@
-//! How many calls may begin at a target that is cold.
+//! Limit on the calls that may start at a cold target.
 //!
-//! Pure. Answers load that falls upon targets which have just started, as after a
-//! power cut or when a data centre comes back: a cold target bears few calls a
-//! second, falls over above that, starts again and is cold again, while its load
-//! goes to the next one. So the guard beside it, which all its calls pass, begins no
-//! more in any second than the target bears.
+//! Targets that have just started, as after a power cut or when a data centre comes back,
+//! are cold: they sustain only a few calls per second. Above that rate a cold target
+//! crashes, restarts and is cold again, while its load moves to the next target. All calls
+//! of a target pass its guard, so the guard limits the calls it starts in any second.
 //!
-//! What is known of a target's state comes from its heartbeats, which are rare and
-//! may come late, and from its answers to questions for its health, which are fresh.
-//! An answer replaces what was known; a heartbeat may only make the target colder.
+//! The state of a target is known from its heartbeats, which are infrequent and may arrive
+//! late, and from its answers to health checks, which are up to date. An answer replaces
+//! the known state; a heartbeat can only extend the time for which the target is cold.
 
 use std::collections::VecDeque;
 
@@ -17,217 +16,232 @@
 use crate::base::clock::MicroTime;
 use crate::base::wire::ColdRoom;
 
-/// Time over which begun calls are counted. It is longer than the second that the
-/// bound is of by the time that a call may take from here to its target, where the
-/// host's processor is taken away for a tenth of a second between the two.
+/// Window over which started calls are counted. It is longer than the second that the rate
+/// refers to, by the time that a call may take from here to its target if the host's
+/// processor is unavailable for a tenth of a second in between.
 pub const COLD_RATE_WINDOW: MicroTime = MicroTime::from_millis(1_100);
 
-/// Calls that are kept back from the bound, for those that were begun by an earlier
-/// guard and are on their way.
-const KEPT_BACK: u32 = 2;
+/// Calls subtracted from the limit, for calls that an earlier guard of the target started
+/// and that are still on their way.
+const RESERVED_CALLS: u32 = 2;
 
-/// Time for which an earlier guard of a target was away before this one started, at
-/// the least: a target that turned cold within it had nothing from that one. Of 28
-/// daemons that were killed on a platform each was away for 0.54 s or more.
-const LEAST_RESTART: MicroTime = MicroTime::from_millis(200);
+/// Minimum time between the end of a target's earlier guard and the start of this one. A
+/// target that turned cold within it got no calls from the earlier guard. Each of 28
+/// daemons that were killed on a platform was absent for at least 0.54 s.
+const MIN_RESTART_TIME: MicroTime = MicroTime::from_millis(200);
 
-/// Time by which two words of one cold time may differ in when it ends, since a
-/// heartbeat may come that late; a later end is that of another cold time.
-const SAME_TURN: MicroTime = MicroTime::from_millis(500);
+/// Difference up to which two reported ends are those of the same cold period, since a
+/// heartbeat may arrive that late; a later end belongs to a new cold period.
+const COLD_END_TOLERANCE: MicroTime = MicroTime::from_millis(500);
 
-/// What a deployment allows cold targets beyond the rate of their service.
+/// Tolerance that a deployment permits above the rate that a service's cold targets sustain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTerms {
-    /// Factor of the rate.
+    /// Factor applied to the rate.
     pub over: f64,
-    /// Calls in a second beyond that.
+    /// Calls per second added to that.
     pub slack: f64,
 }
 
 impl Default for ColdTerms {
-    /// Returns terms that allow nothing beyond.
+    /// Returns terms without any tolerance.
     fn default() -> Self {
         Self { over: 1.0, slack: 0.0 }
     }
 }
 
 impl ColdTerms {
-    /// Returns the most calls in any second for a target that bears `per_s`.
+    /// Returns the maximum number of calls in any second for a target that sustains `per_s`.
     #[must_use]
     pub fn max_rate(&self, per_s: f64) -> u32 {
         (per_s * self.over + self.slack) as u32
     }
 }
 
-/// Time for which a target counts as cold beyond what it told: what it tells is cut
-/// to whole milliseconds and was on its way.
-const COLD_MARGIN: MicroTime = MicroTime::from_millis(50);
+/// Time added to a reported end of a cold period: the reported remaining time is rounded
+/// down to milliseconds, and its message was in transit for a while.
+const COLD_END_MARGIN: MicroTime = MicroTime::from_millis(50);
 
-/// Longest time that a target is taken to be cold for, whatever it tells: a writer
-/// that tells nonsense must not close a target for good.
-const LONGEST_COLD: MicroTime = MicroTime::from_millis(60_000);
+/// Maximum reported cold time that is accepted: a target that reports nonsense must not be
+/// limited for good.
+const MAX_COLD_TIME: MicroTime = MicroTime::from_millis(60_000);
 
-/// Time after which a target that says nothing is no longer taken for cold: one that
-/// started anew would be warm by then, and one that runs was asked several times.
-const DOUBT_LASTS: MicroTime = MicroTime::from_millis(5_000);
+/// Time after which a target that is assumed cold and reports nothing counts as warm: by
+/// then a restarted target would be warm, and a running one has been asked several times.
+const ASSUMED_COLD_TIME: MicroTime = MicroTime::from_millis(5_000);
 
-/// What is known of whether a target is cold.
+/// Known state of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 enum ColdState {
-    /// It told that it is cold until then; in the past where it is warm.
+    /// Cold until this time as reported by the target; in the past if the target is warm.
     Until(MicroTime),
-    /// Nothing was heard since there was a reason to doubt, at that time; it counts
-    /// as cold.
-    Doubted(MicroTime),
+    /// Assumed cold since this time, because it may have restarted and has not reported its
+    /// state since.
+    #[serde(rename = "Doubted")]
+    AssumedSince(MicroTime),
 }
 
-/// Lets calls begin at one target, as few as it bears while it is cold.
+/// Limit on the calls that start at one target while it is cold.
 ///
-/// Invariant: while the target counts as cold and a bound is set, no more than
-/// `bound - 2` calls begin in any [`COLD_RATE_WINDOW`], but at least one may.
+/// Invariant: while the target counts as cold and a maximum rate is set, no more than
+/// `max_rate - 2` calls start within any [`COLD_RATE_WINDOW`], but at least one may.
 #[derive(Clone, Debug, Serialize)]
 pub struct ColdStartLimit {
-    /// Most calls in a second that a cold target bears; nothing where none is set.
-    bound: Option<u32>,
+    /// Maximum number of calls in a second that a cold target sustains; `None` if unlimited.
+    #[serde(rename = "bound")]
+    max_rate: Option<u32>,
     state: ColdState,
-    /// When calls began, the oldest first, within [`COLD_RATE_WINDOW`].
-    begun: VecDeque<MicroTime>,
-    /// Until then it is not known what an earlier guard began of late.
+    /// Start times of the calls within [`COLD_RATE_WINDOW`], oldest first.
+    #[serde(rename = "begun")]
+    started: VecDeque<MicroTime>,
+    /// Time before which no call starts, since the calls recently started by an earlier
+    /// guard are unknown.
     blocked_until: MicroTime,
 }
 
 impl Default for ColdStartLimit {
     fn default() -> Self {
         Self {
-            bound: None,
+            max_rate: None,
             state: ColdState::Until(MicroTime(0)),
-            begun: VecDeque::new(),
+            started: VecDeque::new(),
             blocked_until: MicroTime(0),
         }
     }
 }
 
 impl ColdStartLimit {
-    /// Sets how many calls a cold target bears in a second.
-    pub fn set_max_rate(&mut self, bound: Option<u32>) {
-        self.bound = bound;
+    /// Sets the number of calls in a second that a cold target sustains.
+    pub fn set_max_rate(&mut self, max_rate: Option<u32>) {
+        self.max_rate = max_rate;
     }
 
-    /// Takes an earlier guard of this target to have begun all that it might have
-    /// until `started`, when this one took over.
+    /// Assumes that an earlier guard of this target used up the limit until this guard took
+    /// over at `started`.
     pub fn block_for_predecessor(&mut self, started: MicroTime) {
         self.blocked_until = started + COLD_RATE_WINDOW;
     }
 
-    /// Notes that a target which is cold for `lasts` after its start says at `now`, since
-    /// this guard's start, that it stays so for `left`: if it turned cold when no earlier
-    /// guard was there any more, it had nothing from one. To be told before the state.
+    /// Lifts the block for an earlier guard if the target turned cold when that guard had
+    /// already ended and so can't have started calls in this cold period.
     ///
-    /// Where it was cold already and turned so anew, an earlier guard may have begun
-    /// calls in its first cold time: 11 and then 11 more in a second, where 13 are borne,
-    /// by a guard that was killed between the two (the soak, seed 2101).
+    /// The target reports at `now`, counted from the start of this guard, that it stays cold
+    /// for `left`; it is cold for `lasts` after its start. Must be called before the report
+    /// is passed to [`Self::note_health_answer`] or [`Self::note_heartbeat`].
+    ///
+    /// The block stays if the target was cold already and has restarted, because the earlier
+    /// guard may have started calls in the first cold period: a guard that was killed between
+    /// the two let 11 and then 11 more calls start within a second, at a target that sustains
+    /// 13 (soak test, seed 2101).
     pub fn note_cold_start(&mut self, now: MicroTime, left: MicroTime, lasts: MicroTime) {
-        let anew = |end: MicroTime| now < end && told_end(now, left) > end + SAME_TURN;
-        let turned_before = matches!(self.state, ColdState::Until(end) if anew(end));
-        if !turned_before && left <= lasts && lasts.since(left) < now + LEAST_RESTART {
+        let is_new =
+            |end: MicroTime| now < end && reported_end(now, left) > end + COLD_END_TOLERANCE;
+        let was_cold_before = matches!(self.state, ColdState::Until(end) if is_new(end));
+        if !was_cold_before && left <= lasts && lasts.since(left) < now + MIN_RESTART_TIME {
             self.blocked_until = MicroTime(0);
         }
     }
 
-    /// Notes the target's own answer that it stays cold for `left`.
+    /// Records the target's answer to a health check: it stays cold for `left`.
     pub fn note_health_answer(&mut self, now: MicroTime, left: MicroTime) {
-        self.state = ColdState::Until(told_end(now, left));
+        self.state = ColdState::Until(reported_end(now, left));
     }
 
-    /// Notes a heartbeat, which may be a late one: it can't say that a target is
-    /// warm which was heard to be cold since.
+    /// Records a heartbeat that reports that the target stays cold for `left`.
+    ///
+    /// Since the heartbeat may be late, it can't shorten a known cold period or end an
+    /// assumed one.
     pub fn note_heartbeat(&mut self, now: MicroTime, left: MicroTime) {
-        let told = told_end(now, left);
+        let reported = reported_end(now, left);
         self.state = match self.state {
-            ColdState::Until(known) => ColdState::Until(known.max(told)),
-            doubted @ ColdState::Doubted(_) => doubted,
+            ColdState::Until(known) => ColdState::Until(known.max(reported)),
+            assumed @ ColdState::AssumedSince(_) => assumed,
         };
     }
 
-    /// Takes the target for cold until it says otherwise: it may have started anew.
+    /// Assumes that the target is cold until it reports its state, since it may have
+    /// restarted.
     pub fn assume_cold(&mut self, now: MicroTime) {
-        self.state = ColdState::Doubted(now);
+        self.state = ColdState::AssumedSince(now);
     }
 
-    /// Tells whether the target counts as cold.
+    /// Returns whether the target counts as cold.
     #[must_use]
     pub fn is_cold(&self, now: MicroTime) -> bool {
         now < self.cold_end()
     }
 
-    /// Tells whether nothing is known of the target's state.
+    /// Returns whether the state of the target is only assumed.
     #[must_use]
     pub fn is_assumed_cold(&self) -> bool {
-        matches!(self.state, ColdState::Doubted(_))
+        matches!(self.state, ColdState::AssumedSince(_))
     }
 
-    /// Notes that a call begins now.
+    /// Records that a call starts now.
     pub fn record_start(&mut self, now: MicroTime) {
-        self.forget(now);
-        self.begun.push_back(now);
+        self.drop_expired(now);
+        self.started.push_back(now);
     }
 
-    /// Returns the time until the call behind `ahead` others may begin.
+    /// Returns the time until a call may start if `ahead` other calls start before it.
     #[must_use]
     pub fn wait_behind(&self, now: MicroTime, ahead: usize) -> MicroTime {
-        let Some(most) = self.most().filter(|_| self.is_cold(now)) else { return MicroTime(0) };
-        let wait = self.turn_of(now, most, ahead).since(now);
+        let Some(max_calls) = self.max_calls().filter(|_| self.is_cold(now)) else {
+            return MicroTime(0);
+        };
+        let wait = self.start_time(now, max_calls, ahead).since(now);
         wait.min(self.cold_end().since(now))
     }
 
-    /// Tells whether a call may begin now.
+    /// Returns whether a call may start now.
     #[must_use]
     pub fn may_start(&self, now: MicroTime) -> bool {
         self.wait_behind(now, 0) == MicroTime(0)
     }
 
-    /// Returns the room of a target that is cold and may not take all that comes.
+    /// Returns how many calls may start, or `None` if the target is warm or unlimited.
     #[must_use]
     pub fn room(&self, now: MicroTime) -> Option<ColdRoom> {
-        let most = self.most().filter(|_| self.is_cold(now))?;
+        let max_calls = self.max_calls().filter(|_| self.is_cold(now))?;
         let counted =
-            self.begun.iter().filter(|begun| now.since(**begun) < COLD_RATE_WINDOW).count();
-        let free = if now < self.blocked_until { 0 } else { most.saturating_sub(counted) };
+            self.started.iter().filter(|started| now.since(**started) < COLD_RATE_WINDOW).count();
+        let free = if now < self.blocked_until { 0 } else { max_calls.saturating_sub(counted) };
         let next_ms = self.wait_behind(now, free).ceil_millis();
         Some(ColdRoom { now: free as u16, next_ms: next_ms.min(u64::from(u16::MAX)) as u16 })
     }
 
-    /// Returns when the target is taken to be warm if nothing else is heard.
+    /// Returns the time from which on the target counts as warm unless it reports otherwise.
     fn cold_end(&self) -> MicroTime {
         match self.state {
             ColdState::Until(end) => end,
-            ColdState::Doubted(since) => since + DOUBT_LASTS,
+            ColdState::AssumedSince(since) => since + ASSUMED_COLD_TIME,
         }
     }
 
-    /// Returns the most calls that may begin within [`COLD_RATE_WINDOW`].
-    fn most(&self) -> Option<usize> {
-        self.bound.map(|bound| bound.saturating_sub(KEPT_BACK).max(1) as usize)
+    /// Returns the maximum number of calls that start within [`COLD_RATE_WINDOW`].
+    fn max_calls(&self) -> Option<usize> {
+        self.max_rate.map(|max_rate| max_rate.saturating_sub(RESERVED_CALLS).max(1) as usize)
     }
 
-    /// Returns when the call behind `ahead` others may begin, if all begin as soon as
-    /// they may: once the call that began `most` before it is no longer counted.
-    fn turn_of(&self, now: MicroTime, most: usize, ahead: usize) -> MicroTime {
-        let rounds = ahead / most;
-        let place = self.begun.len() + ahead % most;
-        let first = place.checked_sub(most).and_then(|index| self.begun.get(index));
-        let first = first.map_or(now, |begun| (*begun + COLD_RATE_WINDOW).max(now));
-        first.max(self.blocked_until) + MicroTime(COLD_RATE_WINDOW.0 * rounds as u64)
+    /// Returns when a call may start if `ahead` other calls start before it, all as early as
+    /// possible: as soon as the call started `max_calls` before it has left the window.
+    fn start_time(&self, now: MicroTime, max_calls: usize, ahead: usize) -> MicroTime {
+        let windows = ahead / max_calls;
+        let position = self.started.len() + ahead % max_calls;
+        let oldest = position.checked_sub(max_calls).and_then(|index| self.started.get(index));
+        let first = oldest.map_or(now, |started| (*started + COLD_RATE_WINDOW).max(now));
+        first.max(self.blocked_until) + MicroTime(COLD_RATE_WINDOW.0 * windows as u64)
     }
 
-    fn forget(&mut self, now: MicroTime) {
-        while self.begun.front().is_some_and(|begun| now.since(*begun) >= COLD_RATE_WINDOW) {
-            self.begun.pop_front();
+    /// Drops the starts that have left the window.
+    fn drop_expired(&mut self, now: MicroTime) {
+        while self.started.front().is_some_and(|started| now.since(*started) >= COLD_RATE_WINDOW) {
+            self.started.pop_front();
         }
     }
 }
 
-/// Returns when a target that says to stay cold for `left` is taken to be warm.
-fn told_end(now: MicroTime, left: MicroTime) -> MicroTime {
-    if left == MicroTime(0) { now } else { now + left.min(LONGEST_COLD) + COLD_MARGIN }
+/// Returns the end of the cold period of a target that reports to stay cold for `left`.
+fn reported_end(now: MicroTime, left: MicroTime) -> MicroTime {
+    if left == MicroTime(0) { now } else { now + left.min(MAX_COLD_TIME) + COLD_END_MARGIN }
 }
