--- a/src/decide/crash_suspects.rs
+++ b/src/decide/crash_suspects.rs
@@ -1,15 +1,15 @@
-//! Which requests are suspected of ending the targets that run them.
+//! Requests suspected of crashing the targets that run them.
 //!
-//! Pure. Answers load in which one request ends each target that runs it and comes again
-//! at any host: unchecked it takes a whole service down. When a target ends, whatever
-//! ran there is suspected, and one of it is to blame. So a suspicion counts crashes in a
-//! chain: a run that began with a suspicion known, and ended its target all the same,
-//! adds one to it; runs that began in ignorance of each other, as those at several
-//! targets that lose power together, count as one. A run that is answered clears its
-//! request at once, whoever suspected it.
+//! A request that crashes each target it runs at and is repeated at every host would take
+//! down a whole service. When a target crashes, every request running there is suspected,
+//! and one of them is to blame. A record therefore counts crashes in a chain: a run that
+//! started with a known suspicion and whose target crashed nevertheless adds one crash. Runs
+//! that started without knowledge of each other, as at several targets that lose power
+//! together, count as one. A run that is answered clears its request at once, whichever
+//! daemon suspected it.
 //!
-//! Records of several daemons merge to the greater one, in any order and any number of
-//! times, so that gossip, retries and restarts can't count a crash twice.
+//! Records of several daemons are merged to their maximum. Merging is commutative and
+//! idempotent, so gossip, retries and restarts can't count a crash twice.
 
 use std::collections::HashMap;
 
@@ -17,89 +17,89 @@
 use crate::base::digest::RequestDigest;
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
 
-/// Requests remembered at most: what ran at a hundred targets that ended, at twenty
-/// calls each. A record takes some 64 bytes.
+/// Maximum number of remembered requests: those running at a hundred crashed targets with
+/// twenty calls each. A record takes about 64 bytes.
 pub const MAX_SUSPECTS: usize = 2_048;
 
-/// Time for which a request that is not blamed is remembered after its last crash: a
-/// day, since it may be one that comes with the day's jobs.
-const SUSPECTED_FOR: MicroTime = MicroTime::from_millis(24 * 3_600 * 1_000);
+/// Time for which a request that is not blamed is kept after its last crash if memory is
+/// short: a day, since it may belong to a daily job.
+const SUSPECT_RETENTION: MicroTime = MicroTime::from_millis(24 * 3_600 * 1_000);
 
-/// What a notice changes.
+/// Effect of merging a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeEffect {
-    /// It says more than was known.
+    /// The notice is newer than the known record and replaced it.
     New,
-    /// It says what was known.
+    /// The notice equals the known record.
     Known,
-    /// More is known here than it says.
+    /// The known record is newer than the notice.
     Outdated,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct KnownSuspect {
     record: SuspectRecord,
-    changed: MicroTime,
+    changed_at: MicroTime,
 }
 
-/// The suspected requests that one daemon knows of.
+/// Suspected requests known to one daemon.
 ///
-/// Invariants: a record never falls while it is remembered; at most [`MAX_SUSPECTS`]
-/// are, and of those that crashed less often the oldest is forgotten first, so that a
-/// flood of suspects can't push out one that is blamed.
+/// Invariants: the record of a remembered request never decreases; at most [`MAX_SUSPECTS`]
+/// requests are remembered. Of those with the fewest crashes the oldest is evicted first, so
+/// that a flood of suspects can't evict a blamed request.
 #[derive(Clone, Debug, Default)]
 pub struct CrashSuspects {
     suspects: HashMap<RequestDigest, KnownSuspect>,
-    /// Over the blamed ones; equal at daemons that blame the same requests.
+    /// Hash over the blamed requests; equal at daemons that blame the same requests.
     blamed_hash: u64,
 }
 
 impl CrashSuspects {
-    /// Returns what is known of a request.
+    /// Returns the record of a request; the default record if it is not suspected.
     #[must_use]
     pub fn record(&self, digest: RequestDigest) -> SuspectRecord {
         self.suspects.get(&digest).map(|known| known.record).unwrap_or_default()
     }
 
-    /// Takes over what a notice says, if it says more than is known.
+    /// Merges the record of a notice into the known one.
     pub fn merge(&mut self, now: MicroTime, notice: SuspectNotice) -> NoticeEffect {
         let SuspectNotice { digest, record } = notice;
         let before = self.record(digest);
         if record <= before {
             return if record < before { NoticeEffect::Outdated } else { NoticeEffect::Known };
         }
-        self.count_blame(digest, before);
-        self.count_blame(digest, record);
-        self.suspects.insert(digest, KnownSuspect { record, changed: now });
-        self.make_room(now);
+        self.toggle_blamed_hash(digest, before);
+        self.toggle_blamed_hash(digest, record);
+        self.suspects.insert(digest, KnownSuspect { record, changed_at: now });
+        self.evict_excess(now);
         NoticeEffect::New
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of remembered requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Tells whether nothing is suspected.
+    /// Returns whether no request is suspected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns a hash over the blamed requests, zero where there are none.
+    /// Returns a hash over the blamed requests; zero if there are none.
     #[must_use]
     pub const fn blamed_hash(&self) -> u64 {
         self.blamed_hash
     }
 
-    /// Returns the requests that reach no target, in order.
+    /// Returns the blamed requests, which are sent to no target, ordered by digest.
     #[must_use]
     pub fn blamed(&self) -> Vec<SuspectNotice> {
         self.select(SuspectRecord::is_blamed)
     }
 
-    /// Returns all that is known, in order.
+    /// Returns all remembered requests, ordered by digest.
     #[must_use]
     pub fn notices(&self) -> Vec<SuspectNotice> {
         self.select(|_record| true)
@@ -115,8 +115,8 @@
         notices
     }
 
-    /// Adds a blamed request to the hash, or takes it out again.
-    fn count_blame(&mut self, digest: RequestDigest, record: SuspectRecord) {
+    /// Adds a blamed request to the hash, or removes it if it is included already.
+    fn toggle_blamed_hash(&mut self, digest: RequestDigest, record: SuspectRecord) {
         if record.is_blamed() {
             let hash = blake3::hash(
                 &[&digest.0.to_le_bytes()[..], &record.clearances.to_le_bytes()].concat(),
@@ -126,20 +126,21 @@
         }
     }
 
-    fn make_room(&mut self, now: MicroTime) {
+    /// Evicts requests while there are more than [`MAX_SUSPECTS`].
+    fn evict_excess(&mut self, now: MicroTime) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
-        let kept = |known: &KnownSuspect| {
-            known.record.is_blamed() || now.since(known.changed) < SUSPECTED_FOR
+        let is_kept = |known: &KnownSuspect| {
+            known.record.is_blamed() || now.since(known.changed_at) < SUSPECT_RETENTION
         };
-        self.suspects.retain(|_digest, known| kept(known));
-        let least = |known: &KnownSuspect| (known.record.crashes, known.changed);
+        self.suspects.retain(|_digest, known| is_kept(known));
+        let rank = |known: &KnownSuspect| (known.record.crashes, known.changed_at);
         while self.suspects.len() > MAX_SUSPECTS {
-            let worst = self.suspects.iter().min_by_key(|(digest, known)| (least(known), **digest));
-            let Some((&digest, known)) = worst else { return };
+            let least = self.suspects.iter().min_by_key(|(digest, known)| (rank(known), **digest));
+            let Some((&digest, known)) = least else { return };
             let record = known.record;
-            self.count_blame(digest, record);
+            self.toggle_blamed_hash(digest, record);
             self.suspects.remove(&digest);
         }
     }
--- a/src/decide/running_requests.rs
+++ b/src/decide/running_requests.rs
@@ -1,7 +1,7 @@
-//! What runs at a target, for the moment at which it ends.
+//! Requests running at a target, to know which ones may have crashed it.
 //!
-//! Pure. A target that ends takes all its runs with it, and a run whose caller left goes
-//! on there for a while: any of them may be what ended it.
+//! When a target ends, all its runs end with it. A run whose caller has left continues at the
+//! target for a while. Any of these runs may have crashed the target.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,55 +10,55 @@
 use crate::base::ids::CallId;
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
 
-/// Time after a call was given up in which it may still run at its target. Longer than
-/// the second or so by which a run outlives its connection.
-const GOES_ON_FOR: MicroTime = MicroTime::from_millis(1_000);
+/// Time for which an abandoned run may continue at its target: longer than the second or so by
+/// which a run outlives its connection.
+const ABANDONED_RUN_TIME: MicroTime = MicroTime::from_millis(1_000);
 
-/// Calls that were given up and are remembered.
-const MAX_LEFT: usize = 128;
+/// Maximum number of remembered abandoned runs.
+const MAX_ABANDONED: usize = 128;
 
-/// One run, and what was known of its request when it began.
+/// A run of a request and the suspicion known at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedRequest {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// What was known of it then.
+    /// Crash record of the request when the run started.
     pub record_at_start: SuspectRecord,
 }
 
-/// The runs of one life of a target.
+/// Runs in one incarnation of a target.
 #[derive(Clone, Debug, Default)]
 pub struct RunningRequests {
     running: HashMap<CallId, TrackedRequest>,
-    /// Runs that were given up without an answer, the newest last.
-    left: VecDeque<(MicroTime, TrackedRequest)>,
+    /// Runs abandoned without an answer and the time of that, newest last.
+    abandoned: VecDeque<(MicroTime, TrackedRequest)>,
 }
 
 impl RunningRequests {
-    /// Notes that a call begins to run.
+    /// Records the start of a run.
     pub fn start(&mut self, call: CallId, run: TrackedRequest) {
         self.running.insert(call, run);
     }
 
-    /// Notes that a call was answered, or did not run after all.
+    /// Removes a call that was answered or did not run after all.
     pub fn finish(&mut self, call: CallId) {
         self.running.remove(&call);
     }
 
-    /// Notes that a call was given up without an answer; it may run on.
+    /// Records that a call was abandoned without an answer; its run may continue.
     pub fn abandon(&mut self, now: MicroTime, call: CallId) {
         let Some(run) = self.running.remove(&call) else { return };
-        self.left.push_back((now, run));
-        if self.left.len() > MAX_LEFT {
-            self.left.pop_front();
+        self.abandoned.push_back((now, run));
+        if self.abandoned.len() > MAX_ABANDONED {
+            self.abandoned.pop_front();
         }
     }
 
-    /// Takes the end of the target's life; returns what is known now of each request
-    /// that may have ended it.
+    /// Records the end of the target and forgets all runs; returns the new crash record of each
+    /// request that may have caused it.
     pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
-        let late = self.left.drain(..).filter(|(at, _)| now.since(*at) < GOES_ON_FOR);
-        let runs = self.running.drain().map(|(_, run)| run).chain(late.map(|(_, run)| run));
+        let recent = self.abandoned.drain(..).filter(|(at, _)| now.since(*at) < ABANDONED_RUN_TIME);
+        let runs = self.running.drain().map(|(_, run)| run).chain(recent.map(|(_, run)| run));
         let mut greatest: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
         for run in runs {
             let record = run.record_at_start.after_crash();
