--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -1,4 +1,4 @@
-//! What an entry was granted of an account's quota.
+//! Requests of an account's quota that were granted to an entry in advance.
 
 use std::collections::VecDeque;
 
@@ -6,76 +6,81 @@
 
 use crate::base::clock::MicroTime;
 
-/// Time for which an entry may use what it was granted.
+/// Time for which an entry may use a grant.
 ///
-/// A window then sees at most what was granted in it and this much before it.
+/// The requests let through within a window were therefore granted in that window or at most
+/// this long before it.
 pub const GRANT_LIFETIME: MicroTime = MicroTime::from_millis(100);
 
-/// Time for whose expected requests an entry asks at once.
-const ASK_AHEAD: MicroTime = MicroTime::from_millis(50);
+/// Time whose expected requests an entry asks for at once.
+const PREFETCH_TIME: MicroTime = MicroTime::from_millis(50);
 
-/// Requests that an entry asks for at once, at most.
-const MAX_ASK: u16 = 64;
+/// Maximum number of requests that an entry asks for at once.
+const MAX_ASKED: u16 = 64;
 
-/// Time for which an entry that found all holders without room asks none of them.
-const DRY_LASTS: MicroTime = MicroTime::from_millis(20);
+/// Time for which an entry asks no holder after all of them had nothing left to grant.
+const EXHAUSTED_TIME: MicroTime = MicroTime::from_millis(20);
 
-/// Half-life of an entry's estimate of an account's requests a second.
+/// Half-life of an entry's estimate of an account's request rate, in seconds.
 const RATE_HALF_LIFE_S: f64 = 0.5;
 
-/// What an entry has to do about a request of an account.
+/// Decision of an entry about a request of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// Let it through.
+    /// Let the request through.
     Admit,
-    /// Ask a holder for so many requests, this one included.
+    /// Ask a holder for this number of requests, the present one included.
     AskHolder(u16),
-    /// Refuse it; there is room after so many milliseconds.
+    /// Refuse the request; the caller may retry after this number of milliseconds.
     Refuse(u32),
 }
 
-/// What an entry was granted of an account's quota and has not used.
+/// Requests of an account's quota that were granted to an entry and are not used yet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuotaCredit {
-    /// When each grant lapses, and what is left of it; the oldest first.
+    /// Expiry time of each grant and the requests left of it, oldest first.
     grants: VecDeque<(MicroTime, u16)>,
-    /// Until when no holder is asked, since none had room, and what callers are told
-    /// meanwhile, in milliseconds.
-    dry_until: MicroTime,
-    dry_wait_ms: u32,
-    /// Requests a second, smoothed.
+    /// Time until which no holder is asked, since none had anything left to grant.
+    #[serde(rename = "dry_until")]
+    exhausted_until: MicroTime,
+    /// Retry time returned to callers until then, in milliseconds.
+    #[serde(rename = "dry_wait_ms")]
+    exhausted_wait_ms: u32,
+    /// Moving average of the requests per second.
     rate: f64,
-    arrived: MicroTime,
+    /// Time of the latest request.
+    #[serde(rename = "arrived")]
+    last_arrival: MicroTime,
 }
 
 impl QuotaCredit {
-    /// Takes a request that arrived.
+    /// Decides about a request that arrived.
     pub fn arrive(&mut self, now: MicroTime) -> QuotaDecision {
-        let passed = now.since(self.arrived).duration().as_secs_f64();
-        self.arrived = self.arrived.max(now);
+        let elapsed = now.since(self.last_arrival).duration().as_secs_f64();
+        self.last_arrival = self.last_arrival.max(now);
         let weight = std::f64::consts::LN_2 / RATE_HALF_LIFE_S;
-        self.rate = self.rate * (-passed / RATE_HALF_LIFE_S).exp2() + weight;
+        self.rate = self.rate * (-elapsed / RATE_HALF_LIFE_S).exp2() + weight;
         if self.use_one(now) {
             return QuotaDecision::Admit;
         }
-        if now < self.dry_until {
-            return QuotaDecision::Refuse(self.dry_wait_ms);
+        if now < self.exhausted_until {
+            return QuotaDecision::Refuse(self.exhausted_wait_ms);
         }
-        let ahead = self.rate * ASK_AHEAD.duration().as_secs_f64();
-        QuotaDecision::AskHolder((1 + ahead as u16).min(MAX_ASK))
+        let expected = self.rate * PREFETCH_TIME.duration().as_secs_f64();
+        QuotaDecision::AskHolder((1 + expected as u16).min(MAX_ASKED))
     }
 
-    /// Notes what was granted to a question that was sent at `asked`.
+    /// Adds the requests granted in reply to a question that was sent at `asked`.
     pub fn add_grant(&mut self, asked: MicroTime, granted: u16) {
         if granted > 0 {
             self.grants.push_back((asked + GRANT_LIFETIME, granted));
         }
     }
 
-    /// Uses one granted request, if there is one.
+    /// Uses one granted request; returns whether there was one.
     pub fn use_one(&mut self, now: MicroTime) -> bool {
-        while let Some((lapses, left)) = self.grants.front_mut() {
-            if *lapses > now && *left > 0 {
+        while let Some((expires, left)) = self.grants.front_mut() {
+            if *expires > now && *left > 0 {
                 *left -= 1;
                 return true;
             }
@@ -84,9 +89,9 @@
         false
     }
 
-    /// Notes that no holder has room.
+    /// Records that no holder has anything left to grant; callers may retry after `wait_ms`.
     pub fn mark_exhausted(&mut self, now: MicroTime, wait_ms: u32) {
-        self.dry_until = now + DRY_LASTS;
-        self.dry_wait_ms = wait_ms;
+        self.exhausted_until = now + EXHAUSTED_TIME;
+        self.exhausted_wait_ms = wait_ms;
     }
 }
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -1,4 +1,4 @@
-//! The parts of quotas that one daemon holds.
+//! Parts of account quotas that one daemon holds.
 
 use std::collections::HashMap;
 
@@ -8,74 +8,78 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, HostName};
 
-/// Half-life of the size at which a daemon remembers the fleet.
+/// Half-life of the remembered size of the fleet, in seconds.
 const SIZE_HALF_LIFE_S: f64 = 60.0;
 
-/// Whether a daemon is with most of the fleet, as far as it can tell.
+/// Tracks whether a daemon sees at least half of the fleet.
 ///
-/// A holder that is cut off from the rest must not grant what another one grants in its
-/// place.
+/// A holder that is partitioned from the rest must not grant requests that its replacement
+/// grants as well.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct FleetQuorum {
+    /// Remembered size of the fleet: the maximum number of daemons seen, with decay.
     size: f64,
-    up: usize,
-    updated: MicroTime,
+    /// Number of daemons believed to be alive.
+    #[serde(rename = "up")]
+    alive: usize,
+    #[serde(rename = "updated")]
+    updated_at: MicroTime,
 }
 
 impl FleetQuorum {
-    /// Notes how many daemons are believed to be up.
-    fn update(&mut self, now: MicroTime, up: usize) {
-        let passed = now.since(self.updated).duration().as_secs_f64();
-        self.updated = self.updated.max(now);
-        self.size = (self.size * (-passed / SIZE_HALF_LIFE_S).exp2()).max(up as f64);
-        self.up = up;
+    /// Records the number of daemons believed to be alive.
+    fn update(&mut self, now: MicroTime, alive: usize) {
+        let elapsed = now.since(self.updated_at).duration().as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        self.size = (self.size * (-elapsed / SIZE_HALF_LIFE_S).exp2()).max(alive as f64);
+        self.alive = alive;
     }
 
-    /// Tells whether at least half of the fleet is up.
+    /// Returns whether at least half of the fleet is alive.
     fn holds(&self) -> bool {
-        self.up > 0 && self.up as f64 * 2.0 >= self.size
+        self.alive > 0 && self.alive as f64 * 2.0 >= self.size
     }
 }
 
-/// The parts of quotas that a daemon holds.
+/// Parts of account quotas that a daemon holds.
 ///
-/// Invariant: it holds none while it is cut off from most of the fleet, and what it takes
-/// over counts as used up, since another one may just have granted it.
+/// Invariants: a daemon that is partitioned from most of the fleet holds none; a part that it
+/// takes over counts as used up, since its former holder may just have granted all of it.
 #[derive(Debug, Default, Serialize)]
 pub struct QuotaHolder {
     quorum: FleetQuorum,
     windows: HashMap<AccountName, QuotaWindow>,
 }
 
-/// What changed of the quotas that a daemon holds.
+/// Change of the quotas that a daemon holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderChange {
-    /// It holds a part of an account's quota from now on.
+    /// The daemon now holds a part of the account's quota.
     Acquired(AccountName),
-    /// The quota is another one.
+    /// The quota of a held account changed.
     Updated(AccountName),
-    /// It holds no part of it any more.
+    /// The daemon no longer holds a part of the account's quota.
     Released(AccountName),
 }
 
 impl QuotaHolder {
-    /// Finds out which quotas are held here, as the fleet and the configuration are now.
+    /// Determines which quotas are held here, given the current fleet and configuration.
     ///
-    /// `up` are the hosts that are believed to be up, `own` among them.
+    /// `alive` are the hosts believed to be alive, including `own`.
     pub fn update<'a>(
         &mut self,
         now: MicroTime,
         own: &HostName,
-        up: &[&HostName],
+        alive: &[&HostName],
         quotas: impl Iterator<Item = (&'a AccountName, AccountQuota)>,
         terms: QuotaTerms,
     ) -> Vec<HolderChange> {
-        self.quorum.update(now, up.len());
+        self.quorum.update(now, alive.len());
         let mut before = std::mem::take(&mut self.windows);
         let mut changes = Vec::new();
         let quotas = quotas.filter(|_| self.quorum.holds());
         for (account, quota) in quotas {
-            let holders = choose_holders(account, up.iter().copied(), quota.holders(terms));
+            let holders = choose_holders(account, alive.iter().copied(), quota.holders(terms));
             if !holders.contains(&own) {
                 continue;
             }
@@ -93,9 +97,10 @@
         changes
     }
 
-    /// Grants up to `want` requests of an account; nothing if its quota is not held here.
+    /// Grants up to `want` requests of an account; returns `None` if its quota is not held
+    /// here.
     ///
-    /// `settled` tells whether the entry that asks has run for a window or more.
+    /// `settled` tells whether the entry that asks has run for at least a window.
     pub fn grant(
         &mut self,
         now: MicroTime,
--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -1,10 +1,11 @@
-//! How many requests a client account may make, over all daemons together.
+//! Request quotas of client accounts, enforced over all daemons together.
 //!
-//! Pure. Answers load of one account that is far above its quota, at one entry or at all
-//! of them, while hosts die, are cut off and start anew. A few daemons hold the quota of
-//! an account, each a fixed part of it (`holder`, `window`), and grant it to the entries
-//! that ask (`credit`). What a holder that died had is not given to another before the
-//! fleet takes it for dead, so that no cut and no restart gives out a part twice.
+//! A few daemons hold the quota of an account, each a fixed part of it (`holder`,
+//! `window`), and grant requests to the entries that ask for them (`credit`). This keeps
+//! an account that is far above its quota, at one entry or at all of them, within it while
+//! hosts crash, are partitioned and restart. The part of a failed holder is not given to
+//! another one before the fleet considers the first one dead, so that neither a partition
+//! nor a restart grants a part twice.
 
 mod credit;
 mod holder;
@@ -19,60 +20,61 @@
 pub use holder::{HolderChange, QuotaHolder};
 pub use window::{QuotaGrant, QuotaWindow};
 
-/// Daemons that hold the quota of one account, at most: the loss of one leaves three
-/// quarters of the quota until it is replaced.
+/// Maximum number of daemons that hold the quota of one account: the loss of one leaves
+/// three quarters of the quota until it is replaced.
 pub const MAX_HOLDERS: usize = 4;
 
-/// Part of the tolerance that holders give out beyond the quota. The rest is for holders
-/// that change while views of the fleet differ.
-const TOLERANCE_PART: f64 = 0.8;
+/// Fraction of the tolerance that holders grant beyond the quota. The rest covers changes of
+/// holders while views of the fleet differ.
+const GRANTED_TOLERANCE: f64 = 0.8;
 
-/// Requests that an account may make, over all daemons together.
+/// Number of requests that an account may make, over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountQuota {
-    /// Requests in a thousand seconds.
+    /// Requests per thousand seconds.
     pub per_1000_s: u64,
-    /// Requests that may come at once beyond the rate.
+    /// Requests that may arrive at once in addition to the rate.
     pub burst: u32,
 }
 
-/// How exactly a deployment wants quotas kept.
+/// Precision with which a deployment requires quotas to be enforced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTerms {
-    /// Span over which requests are counted.
+    /// Window over which requests are counted.
     pub window: MicroTime,
-    /// Part of what is allowed in a window that may be exceeded.
+    /// Fraction by which the requests permitted in a window may be exceeded.
     pub over: f64,
-    /// Requests of a window beyond that.
+    /// Requests per window that are tolerated in addition to that.
     pub slack: f64,
 }
 
 impl Default for QuotaTerms {
-    /// Returns terms that keep a quota to the request, in each second.
+    /// Returns terms without any tolerance, over windows of one second.
     fn default() -> Self {
         Self { window: MicroTime::from_millis(1_000), over: 0.0, slack: 0.0 }
     }
 }
 
 impl AccountQuota {
-    /// Returns the requests that all holders grant together in one window.
-    fn in_window(self, terms: QuotaTerms) -> f64 {
+    /// Returns the number of requests that all holders together grant in one window.
+    fn per_window(self, terms: QuotaTerms) -> f64 {
         let per_s = self.per_1000_s as f64 / 1_000.0;
-        let allowed = per_s * terms.window.duration().as_secs_f64() + f64::from(self.burst);
-        allowed * (1.0 + TOLERANCE_PART * terms.over) + TOLERANCE_PART * terms.slack
+        let permitted = per_s * terms.window.duration().as_secs_f64() + f64::from(self.burst);
+        permitted * (1.0 + GRANTED_TOLERANCE * terms.over) + GRANTED_TOLERANCE * terms.slack
     }
 
-    /// Returns how many daemons hold the quota: each must have room for a request.
+    /// Returns the number of daemons that hold the quota: no more than each can hold at least
+    /// one request of a window.
     #[must_use]
     pub fn holders(self, terms: QuotaTerms) -> usize {
-        (self.in_window(terms) as usize).clamp(1, MAX_HOLDERS)
+        (self.per_window(terms) as usize).clamp(1, MAX_HOLDERS)
     }
 }
 
-/// Returns the hosts that hold the quota of an account, the first first.
+/// Returns the `count` hosts that hold the quota of an account, in order of preference.
 ///
-/// All daemons that know the same hosts choose the same, and a host that joins or leaves
-/// changes the choice for few accounts.
+/// The choice uses rendezvous hashing: all daemons that know the same hosts make the same
+/// choice, and a host that joins or leaves changes it for few accounts.
 #[must_use]
 pub fn choose_holders<'a>(
     account: &AccountName,
@@ -80,19 +82,19 @@
     count: usize,
 ) -> Vec<&'a HostName> {
     let account = fnv_hash(account.as_str());
-    let mut first: Vec<(u64, &HostName)> = Vec::with_capacity(count + 1);
+    let mut chosen: Vec<(u64, &HostName)> = Vec::with_capacity(count + 1);
     for host in hosts {
         let rank = mix(account ^ fnv_hash(host.as_str()));
-        let place = first.partition_point(|(other, _)| *other <= rank);
-        if place < count {
-            first.insert(place, (rank, host));
-            first.truncate(count);
+        let position = chosen.partition_point(|(other, _)| *other <= rank);
+        if position < count {
+            chosen.insert(position, (rank, host));
+            chosen.truncate(count);
         }
     }
-    first.into_iter().map(|(_, host)| host).collect()
+    chosen.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Hashes a name; the result is the same in every process.
+/// Returns the FNV-1a hash of a text, which is the same in every process.
 fn fnv_hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
