--- a/src/decide/clock_offset.rs
+++ b/src/decide/clock_offset.rs
@@ -1,55 +1,62 @@
-//! How far another process's clock is ahead of the own one.
+//! Offset of another process's clock from the own one.
 //!
-//! Clocks of processes have no common origin, and links may hold messages up. A
-//! message that tells when it was sent bounds the lead from below: it was sent no
-//! later than it came. The message that travelled fastest bounds it best. So a
-//! sender can say when a message left, in the receiver's time, and the receiver
-//! can take off what the message lost on its way.
+//! The clocks of processes have no common origin, and links may delay messages. A message
+//! that carries its sending time gives a lower bound of the offset, since it was sent no later
+//! than it arrived; the message with the shortest transit gives the best bound. With it a
+//! sender can express a sending time by the receiver's clock, and the receiver can subtract the
+//! transit delay of a message.
 
 use serde::Serialize;
 
 use crate::base::clock::MicroTime;
 
-/// How fast two clocks may part, as a part of the time that passes: ten times
-/// what quartz clocks do.
-const DRIFT: f64 = 0.000_5;
+/// Maximum relative drift between two clocks: ten times that of quartz clocks.
+const MAX_DRIFT: f64 = 0.000_5;
 
-/// What is known of another clock's lead.
+/// Estimated offset of another clock.
 ///
-/// Invariant: never more than the true lead, as long as clocks part no faster
-/// than [`DRIFT`].
+/// Invariant: never greater than the true offset, as long as the clocks drift apart by no more
+/// than [`MAX_DRIFT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ClockOffset {
-    lead_us: i64,
-    noted: MicroTime,
+    /// Lower bound of the other clock's time minus the own one.
+    #[serde(rename = "lead_us")]
+    offset_us: i64,
+    /// Time at which the bound was measured.
+    #[serde(rename = "noted")]
+    updated_at: MicroTime,
 }
 
 impl ClockOffset {
-    /// Takes the first message, sent at `told` by the other clock, come at `now`.
+    /// Creates the estimate from a first message, sent at `sent` by the other clock and received
+    /// at `now`.
     #[must_use]
-    pub const fn open(now: MicroTime, told: MicroTime) -> Self {
-        Self { lead_us: told.0.cast_signed() - now.0.cast_signed(), noted: now }
+    pub const fn open(now: MicroTime, sent: MicroTime) -> Self {
+        Self { offset_us: sent.0.cast_signed() - now.0.cast_signed(), updated_at: now }
     }
 
-    /// Takes a further message; returns how much longer it was on its way than the
-    /// fastest one.
-    pub fn update(&mut self, now: MicroTime, told: MicroTime) -> MicroTime {
-        let newest = Self::open(now, told);
-        let known = self.lead_at(now);
-        if newest.lead_us >= known {
+    /// Updates the estimate from a further message; returns how much longer its transit took
+    /// than that of the fastest one.
+    pub fn update(&mut self, now: MicroTime, sent: MicroTime) -> MicroTime {
+        let newest = Self::open(now, sent);
+        let known = self.offset_at(now);
+        if newest.offset_us >= known {
             *self = newest;
             return MicroTime(0);
         }
-        MicroTime((known - newest.lead_us) as u64)
+        MicroTime((known - newest.offset_us) as u64)
     }
 
-    /// Returns what the other clock shows at the least when the own one shows `now`.
+    /// Returns a lower bound of the time that the other clock shows when the own one shows
+    /// `now`.
     #[must_use]
     pub fn remote_time(&self, now: MicroTime) -> MicroTime {
-        MicroTime((now.0.cast_signed() + self.lead_at(now)).max(0) as u64)
+        MicroTime((now.0.cast_signed() + self.offset_at(now)).max(0) as u64)
     }
 
-    fn lead_at(&self, now: MicroTime) -> i64 {
-        self.lead_us - (now.since(self.noted).0 as f64 * DRIFT) as i64
+    /// Returns the lower bound of the offset at `now`, reduced by the possible drift since it
+    /// was measured.
+    fn offset_at(&self, now: MicroTime) -> i64 {
+        self.offset_us - (now.since(self.updated_at).0 as f64 * MAX_DRIFT) as i64
     }
 }
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -1,8 +1,7 @@
-//! Whether a target on this host takes new work.
+//! Leases of the targets on this host, which determine whether they get new calls.
 //!
-//! Pure. A target announces itself and repeats that as a heartbeat. It stops
-//! taking new work when it says so, when an operator drains it, or when its
-//! heartbeats stop.
+//! A target announces itself and repeats the announcement as a heartbeat. It gets no new calls
+//! once it says that it ends, an operator drains it, or its heartbeats stop.
 
 use std::time::Duration;
 
@@ -10,7 +9,7 @@
 
 use crate::base::clock::MicroTime;
 
-/// What a target says of itself.
+/// Condition that a target reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetCondition {
@@ -18,76 +17,89 @@
     Warming,
     /// Ready for calls.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Finishing its running calls and accepting no new ones.
     Draining,
 }
 
-/// The lease of one target.
+/// Lease of one target.
 ///
-/// Invariants: after a heartbeat at `t`, and without another, `is_ready` is
-/// false from `t + lasts` on, and from a lapse on; an ended lease is never ready again.
+/// Invariants: after a heartbeat at `t` without a further one, `is_ready` is false from
+/// `t + duration` on, and from [`Self::mark_unreachable`] on; an ended lease is never ready
+/// again.
 #[derive(Clone, Debug, Serialize)]
 pub struct TargetLease {
     condition: TargetCondition,
-    heard: MicroTime,
-    lasts: MicroTime,
-    /// Set when nobody listened at its address; a heartbeat takes that back.
-    lapsed: bool,
-    /// Set when the target said that it ends; a later heartbeat is a late one.
+    /// Time of the latest heartbeat.
+    #[serde(rename = "heard")]
+    renewed_at: MicroTime,
+    /// Time for which a heartbeat is valid.
+    #[serde(rename = "lasts")]
+    duration: MicroTime,
+    /// Whether nothing listened at the target's address; a heartbeat resets it.
+    #[serde(rename = "lapsed")]
+    unreachable: bool,
+    /// Whether the target said that it ends; later heartbeats are late ones.
     ended: bool,
-    /// Set by an operator; only an operator takes it back.
+    /// Whether an operator drained the target; only an operator resets it.
     drained: bool,
 }
 
 impl TargetLease {
-    /// Opens the lease of a target heard of now.
+    /// Creates the lease of a target whose first heartbeat arrives now.
     #[must_use]
-    pub fn open(now: MicroTime, condition: TargetCondition, lasts: Duration) -> Self {
-        let lasts = lasts.into();
-        Self { condition, heard: now, lasts, lapsed: false, ended: false, drained: false }
+    pub fn open(now: MicroTime, condition: TargetCondition, duration: Duration) -> Self {
+        let duration = duration.into();
+        Self {
+            condition,
+            renewed_at: now,
+            duration,
+            unreachable: false,
+            ended: false,
+            drained: false,
+        }
     }
 
-    /// Notes a heartbeat.
+    /// Records a heartbeat.
     pub fn renew(&mut self, now: MicroTime, condition: TargetCondition) {
-        self.heard = self.heard.max(now);
-        self.lapsed = false;
+        self.renewed_at = self.renewed_at.max(now);
+        self.unreachable = false;
         self.condition = condition;
     }
 
-    /// Changes how long a heartbeat stays valid.
-    pub fn set_duration(&mut self, lasts: Duration) {
-        self.lasts = lasts.into();
+    /// Changes the time for which a heartbeat is valid.
+    pub fn set_duration(&mut self, duration: Duration) {
+        self.duration = duration.into();
     }
 
-    /// Notes that nobody listens at the target's address now.
+    /// Records that nothing listens at the target's address.
     ///
-    /// Its heartbeats would count for seconds, in which its guard takes calls, looks idle
-    /// and refuses each: with three of four targets gone that were most of a service's
-    /// calls, 41 of 61 in a second.
+    /// Otherwise its last heartbeat would stay valid for seconds, in which its guard would look
+    /// idle, attract calls and refuse each of them: with three of four targets gone this
+    /// affected 41 of a service's 61 calls in a second.
     pub const fn mark_unreachable(&mut self) {
-        self.lapsed = true;
+        self.unreachable = true;
     }
 
-    /// Notes that the target ends.
+    /// Records that the target ends.
     pub const fn end(&mut self) {
         self.ended = true;
     }
 
-    /// Notes an operator's order.
+    /// Sets or resets draining by an operator.
     pub const fn drain(&mut self, drained: bool) {
         self.drained = drained;
     }
 
-    /// Tells whether the target said that it ends, or was told to finish.
+    /// Returns whether the target ends or is draining.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.ended || self.drained || self.condition == TargetCondition::Draining
     }
 
-    /// Tells whether the target takes new work.
+    /// Returns whether the target gets new calls.
     #[must_use]
     pub fn is_ready(&self, now: MicroTime) -> bool {
-        let fresh = now.since(self.heard) < self.lasts && !self.lapsed;
-        fresh && !self.ended && !self.drained && self.condition == TargetCondition::Ready
+        let valid = now.since(self.renewed_at) < self.duration && !self.unreachable;
+        valid && !self.ended && !self.drained && self.condition == TargetCondition::Ready
     }
 }
--- a/src/decide/target_incarnation.rs
+++ b/src/decide/target_incarnation.rs
@@ -1,84 +1,91 @@
-//! Which of what is heard of a target is of its present life.
+//! Incarnations of a target, to ignore messages about earlier ones.
 //!
-//! Pure. Heartbeats may come seconds late, also after the target ended or started
-//! again under its name. Within a life a number grows with every heartbeat; of two
-//! lives the later one was born later, and its numbers begin anew.
+//! Heartbeats may arrive seconds late, even after the target ended or restarted under the same
+//! name. Within an incarnation the sequence number increases with every heartbeat. Of two
+//! incarnations the later one has the later start time, and its sequence numbers start anew.
 
 use serde::Serialize;
 
-/// What a heartbeat says of a target's life.
+/// Relation of a heartbeat to the known incarnation of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// It is late, or of an earlier life: nothing follows from it.
+    /// It is late or belongs to an earlier incarnation, and must be ignored.
     Stale,
-    /// It is of the life that is known.
+    /// It belongs to the known incarnation.
     Current,
-    /// The target started again: it holds and knows nothing of before.
+    /// It belongs to a new incarnation: the target restarted and has lost all calls and state.
     Restarted,
 }
 
-/// The newest life of one target, as far as it was heard of.
+/// The newest known incarnation of one target.
 ///
-/// Invariants: `born` never falls; what is of an earlier life, or came late, never
-/// changes anything; an ended life never becomes present again.
+/// Invariants: `started_ms` never decreases; messages that are late or of an earlier incarnation
+/// change nothing; an ended incarnation never becomes current again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetIncarnation {
-    /// When it was born, in milliseconds by the target's clock, where it tells.
-    born: Option<u64>,
-    /// The greatest number of its heartbeats; zero before the first.
+    /// Start time in milliseconds by the target's clock; `None` if the target reports none.
+    #[serde(rename = "born")]
+    started_ms: Option<u64>,
+    /// Greatest sequence number of its heartbeats; zero before the first.
     sequence: u64,
     ended: bool,
 }
 
 impl TargetIncarnation {
-    /// Opens the life that a first heartbeat, or an answer, told of.
+    /// Creates the incarnation that a first heartbeat, or an answer, reported.
     #[must_use]
-    pub const fn open(born: Option<u64>, sequence: u64) -> Self {
-        Self { born, sequence, ended: false }
+    pub const fn open(started_ms: Option<u64>, sequence: u64) -> Self {
+        Self { started_ms, sequence, ended: false }
     }
 
-    /// Takes a heartbeat; one without a number is always of the present life.
-    pub fn note_heartbeat(&mut self, born: Option<u64>, sequence: Option<u64>) -> HeartbeatVerdict {
-        match (self.born, born) {
-            (Some(known), Some(told)) if told > known => {
-                *self = Self::open(born, sequence.unwrap_or_default());
+    /// Classifies and records a heartbeat. One without a sequence number is never late within
+    /// its incarnation.
+    pub fn note_heartbeat(
+        &mut self,
+        started_ms: Option<u64>,
+        sequence: Option<u64>,
+    ) -> HeartbeatVerdict {
+        match (self.started_ms, started_ms) {
+            (Some(known), Some(reported)) if reported > known => {
+                *self = Self::open(started_ms, sequence.unwrap_or_default());
                 return HeartbeatVerdict::Restarted;
             }
-            (Some(known), Some(told)) if told < known => return HeartbeatVerdict::Stale,
-            // Who told its birth once tells it always: this is another writer.
+            (Some(known), Some(reported)) if reported < known => return HeartbeatVerdict::Stale,
+            // A target that reports its start time always does: this is another sender.
             (Some(_known), None) => return HeartbeatVerdict::Stale,
             _ => {}
         }
         if self.ended || sequence.is_some_and(|sequence| sequence <= self.sequence) {
             return HeartbeatVerdict::Stale;
         }
-        self.born = born;
+        self.started_ms = started_ms;
         self.sequence = sequence.unwrap_or_default();
         HeartbeatVerdict::Current
     }
 
-    /// Takes the end of a life; `false` if it was an earlier one.
-    pub fn end(&mut self, born: Option<u64>) -> bool {
-        if let (Some(known), Some(told)) = (self.born, born)
-            && told < known
+    /// Records the end of an incarnation; returns `false` if it was an earlier one.
+    pub fn end(&mut self, started_ms: Option<u64>) -> bool {
+        if let (Some(known), Some(reported)) = (self.started_ms, started_ms)
+            && reported < known
         {
             return false;
         }
-        self.born = self.born.max(born);
+        self.started_ms = self.started_ms.max(started_ms);
         self.ended = true;
         true
     }
 
-    /// Tells whether a life was born before another one, where both tell.
+    /// Returns whether this incarnation started before another one; `false` if the start time of
+    /// either is unknown.
     #[must_use]
     pub const fn is_older_than(&self, other: &Self) -> bool {
-        match (self.born, other.born) {
+        match (self.started_ms, other.started_ms) {
             (Some(own), Some(other)) => own < other,
             _ => false,
         }
     }
 
-    /// Tells whether the life has ended.
+    /// Returns whether the incarnation has ended.
     #[must_use]
     pub const fn is_ended(&self) -> bool {
         self.ended
