--- a/src/decide/call_ledger.rs
+++ b/src/decide/call_ledger.rs
@@ -1,4 +1,4 @@
-//! At most once: what became of each call, in a guard and in the table.
+//! At-most-once execution: the status of each call in its guard and in the claim table.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -8,25 +8,25 @@
 use crate::base::consts::{LEDGER_CAPACITY, LEDGER_RETENTION};
 use crate::base::ids::CallId;
 
-/// Time after the deadline of a call that may run twice in which its entry may
-/// still ask for its status: longer than such a question waits for its answer.
-const ASKED_LATE: MicroTime = MicroTime::from_millis(2_000);
+/// Time after the deadline of a repeatable call in which its entry may still query its status:
+/// longer than the timeout of such a query.
+const STATUS_QUERY_GRACE: MicroTime = MicroTime::from_millis(2_000);
 
-/// What a repeat that finds a claim makes of it.
+/// Result of comparing a repeated request with the claim row of its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict<'a> {
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyReused,
     /// The earlier call ran; this is its answer.
     Answered(&'a RecordedAnswer),
-    /// Nobody will learn more.
+    /// The earlier call may have run, and its outcome will never be known.
     Unknown,
-    /// The guard that holds the claim knows, or can still stop the call.
+    /// The guard that holds the claim knows the status, or can still prevent the call.
     AskGuard,
 }
 
 impl ClaimRow {
-    /// Tells what a repeat of the request with this hash makes of the row.
+    /// Compares the row with a repeated request whose hash is `print`.
     #[must_use]
     pub fn verdict(&self, print: &str) -> ClaimVerdict<'_> {
         if self.print != print {
@@ -42,31 +42,35 @@
 
 #[derive(Clone, Debug)]
 enum LedgerEntry {
-    /// Received, not dispatched.
+    /// Received, but not dispatched.
     Waiting,
     /// Revoked or refused: must never be dispatched.
-    Dead,
+    Revoked,
+    /// Dispatched, but not ended.
     Running,
+    /// Ended with this status.
     Done(Box<CallStatus>),
 }
 
-/// A guard's memory of the calls it received in this life.
+/// Record of the calls that a guard received in its present incarnation.
 ///
-/// Invariants: a dead call is never dispatched; a call is dispatched at most
-/// once; an entry is forgotten only after [`LEDGER_RETENTION`].
+/// Invariants: a revoked call is never dispatched; a call is dispatched at most once; the entry
+/// of a revoked or finished call is kept for [`LEDGER_RETENTION`], that of a finished repeatable
+/// call until its status can no longer be queried.
 #[derive(Debug, Default)]
 pub struct CallLedger {
     entries: HashMap<CallId, LedgerEntry>,
-    /// Calls by the time they may be forgotten, oldest first.
+    /// Ended calls with the time from which on they may be forgotten, earliest first.
     ended: BinaryHeap<Reverse<(MicroTime, CallId)>>,
 }
 
 impl CallLedger {
-    /// Notes the arrival of a call; `false` if it is known already.
+    /// Records the arrival of a call; returns `false` if the call must not run.
     ///
-    /// A known id is a late copy, a repeat or a revoked call: it must not run.
+    /// This is so if its id is known, as that of a late copy, a repeat or a revoked call, or if
+    /// the ledger is full.
     pub fn arrive(&mut self, now: MicroTime, call: CallId) -> bool {
-        self.forget(now);
+        self.drop_expired(now);
         if self.entries.len() >= LEDGER_CAPACITY || self.entries.contains_key(&call) {
             return false;
         }
@@ -74,7 +78,7 @@
         true
     }
 
-    /// Asks leave to dispatch; granted at most once for each call.
+    /// Requests permission to dispatch a call; returns `true` at most once for each call.
     pub fn dispatch(&mut self, call: CallId) -> bool {
         match self.entries.get_mut(&call) {
             Some(entry @ LedgerEntry::Waiting) => {
@@ -85,26 +89,26 @@
         }
     }
 
-    /// Makes sure that a call not yet dispatched never will be.
+    /// Ensures that a call that is not dispatched yet never will be, and returns its status.
     ///
-    /// Returns its status. `Unknown` where the memory is full, since then the
-    /// revocation itself could not be kept.
+    /// The status of an unknown call is `Unknown` if the ledger is full, since the revocation
+    /// itself can't be recorded then.
     pub fn revoke(&mut self, now: MicroTime, call: CallId) -> CallStatus {
-        self.forget(now);
+        self.drop_expired(now);
         match self.entries.get(&call) {
             Some(LedgerEntry::Running) => CallStatus::Running,
             Some(LedgerEntry::Done(status)) => CallStatus::clone(status),
-            Some(LedgerEntry::Dead) => CallStatus::NotRun,
-            Some(LedgerEntry::Waiting) => self.bury(now, call),
-            None if self.entries.len() < LEDGER_CAPACITY => self.bury(now, call),
+            Some(LedgerEntry::Revoked) => CallStatus::NotRun,
+            Some(LedgerEntry::Waiting) => self.mark_revoked(now, call),
+            None if self.entries.len() < LEDGER_CAPACITY => self.mark_revoked(now, call),
             None => CallStatus::Unknown,
         }
     }
 
-    /// Notes the end of a call that may run twice.
+    /// Records the end of a repeatable call.
     ///
-    /// Its status is asked for by an entry that did not get the answer, until the
-    /// deadline; to keep each call for longer would fill the memory.
+    /// An entry that did not get the answer may query the status until shortly after the
+    /// deadline. Keeping each call for longer would fill the ledger.
     pub fn finish_repeatable(
         &mut self,
         now: MicroTime,
@@ -112,42 +116,43 @@
         status: CallStatus,
         deadline: MicroTime,
     ) {
-        let until = deadline.max(now) + ASKED_LATE;
+        let until = deadline.max(now) + STATUS_QUERY_GRACE;
         self.entries.insert(call, LedgerEntry::Done(Box::new(status)));
         self.ended.push(Reverse((until, call)));
     }
 
-    /// Notes the end of a call that was dispatched, for repeats that ask.
+    /// Records the end of a call that must run at most once, for repeats that query its status.
     pub fn finish(&mut self, now: MicroTime, call: CallId, status: CallStatus) {
         self.entries.insert(call, LedgerEntry::Done(Box::new(status)));
         self.ended.push(Reverse((now + LEDGER_RETENTION.into(), call)));
     }
 
-    /// Tells whether a call waits to be dispatched.
+    /// Returns whether a call has arrived and is neither dispatched nor revoked.
     #[must_use]
     pub fn is_waiting(&self, call: CallId) -> bool {
         matches!(self.entries.get(&call), Some(LedgerEntry::Waiting))
     }
 
-    /// Returns how many calls are remembered.
+    /// Returns the number of recorded calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no call is remembered.
+    /// Returns whether no call is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    fn bury(&mut self, now: MicroTime, call: CallId) -> CallStatus {
-        self.entries.insert(call, LedgerEntry::Dead);
+    fn mark_revoked(&mut self, now: MicroTime, call: CallId) -> CallStatus {
+        self.entries.insert(call, LedgerEntry::Revoked);
         self.ended.push(Reverse((now + LEDGER_RETENTION.into(), call)));
         CallStatus::NotRun
     }
 
-    fn forget(&mut self, now: MicroTime) {
+    /// Drops the ended calls whose retention time has passed.
+    fn drop_expired(&mut self, now: MicroTime) {
         while let Some(&Reverse((until, call))) = self.ended.peek() {
             if until > now {
                 return;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,167 +1,176 @@
-//! How often a call may be tried, so that retries can't multiply.
+//! Limits on the attempts of a call, so that retries can't multiply.
 //!
-//! Only the entry next to a failure tries again: an answer of a target is
-//! final, also one that says a deeper call failed. So the attempts of a call
-//! tree add up and never multiply.
+//! Only the entry next to a failure retries: an answer of a target is final, even if it says
+//! that a nested call failed. The attempts of a call tree therefore add up and never multiply.
 
 use serde::Serialize;
 
 use crate::base::clock::MicroTime;
 use crate::base::consts::MAX_ATTEMPTS;
 
-/// Retries earned by one answered call, and retries that can be saved up.
-const RETRIES: (f64, f64) = (0.1, 10.0);
+/// Retry tokens earned by one answered call, and maximum number of tokens.
+const RETRY_TOKENS: (f64, f64) = (0.1, 10.0);
 
-/// Hedges earned by one answered call, and hedges that can be saved up.
-const HEDGES: (f64, f64) = (0.05, 5.0);
+/// Hedge tokens earned by one answered call, and maximum number of tokens.
+const HEDGE_TOKENS: (f64, f64) = (0.05, 5.0);
 
-/// How much longer than expected a try may take before it is hedged.
+/// Multiple of the expected service time after which an attempt is hedged.
 const HEDGE_FACTOR: f64 = 3.0;
 
-/// A budget of further tries, as a share of the calls that were answered.
+/// Token bucket that limits further attempts to a fraction of the answered calls.
 ///
-/// Invariant: over any run, tries granted ≤ `saved` + `earned` × answered.
+/// Invariant: attempts granted ≤ `max_tokens` + `tokens_per_success` × answered calls, over any
+/// time.
 #[derive(Clone, Debug, Serialize)]
 pub struct RetryBudget {
-    earned: f64,
-    saved: f64,
+    #[serde(rename = "earned")]
+    tokens_per_success: f64,
+    #[serde(rename = "saved")]
+    max_tokens: f64,
     tokens: f64,
-    /// Tries granted so far.
+    /// Number of attempts granted so far.
     pub granted: u64,
 }
 
 impl RetryBudget {
-    /// Opens the budget of retries, with its savings full.
+    /// Creates a full budget for retries.
     #[must_use]
     pub const fn open() -> Self {
-        Self::with_rates(RETRIES)
+        Self::with_tokens(RETRY_TOKENS)
     }
 
-    /// Opens the budget of hedges: second tries beside a slow first one.
+    /// Creates a full budget for hedges: second attempts parallel to a slow first one.
     #[must_use]
     pub const fn open_hedges() -> Self {
-        Self::with_rates(HEDGES)
+        Self::with_tokens(HEDGE_TOKENS)
     }
 
-    const fn with_rates((earned, saved): (f64, f64)) -> Self {
-        Self { earned, saved, tokens: saved, granted: 0 }
+    const fn with_tokens((tokens_per_success, max_tokens): (f64, f64)) -> Self {
+        Self { tokens_per_success, max_tokens, tokens: max_tokens, granted: 0 }
     }
 
-    /// Notes a call that was answered.
+    /// Records an answered call.
     pub fn record_success(&mut self) {
-        self.tokens = (self.tokens + self.earned).min(self.saved);
+        self.tokens = (self.tokens + self.tokens_per_success).min(self.max_tokens);
     }
 
-    /// Takes one try, if the budget has one.
+    /// Takes one token; returns `false` if there is none, and no further attempt is permitted.
     pub fn try_take(&mut self) -> bool {
         let granted = self.tokens >= 1.0;
         if granted {
             self.tokens -= 1.0;
             self.granted += 1;
-            debug_assert!((0.0..=self.saved).contains(&self.tokens), "{} tokens", self.tokens);
+            debug_assert!(
+                (0.0..=self.max_tokens).contains(&self.tokens),
+                "{} tokens are out of bounds",
+                self.tokens
+            );
         }
         granted
     }
 }
 
-/// A daemon's part of what all daemons together may add to a service's calls.
+/// One daemon's share of the further attempts that all daemons together may make for a service.
 ///
-/// Each keeps to its part without hearing the others, also when it is cut off.
+/// Each daemon keeps to its share without communicating, even while it is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
-    /// Tries earned by one answered call.
+    /// Retry tokens earned by one answered call.
     pub tokens_per_success: f64,
-    /// Tries that all daemons together may save up.
+    /// Maximum number of tokens: of all daemons together if `divided`, else of each daemon.
     pub max_tokens: f64,
     /// Whether `max_tokens` is divided among the daemons.
     pub divided: bool,
 }
 
 impl Default for RetryShare {
-    /// Returns the share of a daemon whose deployment sets no bound.
+    /// Returns the share used if the deployment sets no bound.
     fn default() -> Self {
-        Self { tokens_per_success: RETRIES.0, max_tokens: RETRIES.1, divided: false }
+        Self { tokens_per_success: RETRY_TOKENS.0, max_tokens: RETRY_TOKENS.1, divided: false }
     }
 }
 
 impl RetryShare {
-    /// Opens the budget of one of `daemons` daemons, with its savings full.
+    /// Creates the full budget of one of `daemons` daemons; it has at least one token.
     #[must_use]
     pub fn open(&self, daemons: usize) -> RetryBudget {
         let parts = if self.divided { daemons.max(1) as f64 } else { 1.0 };
-        RetryBudget::with_rates((self.tokens_per_success, (self.max_tokens / parts).max(1.0)))
+        RetryBudget::with_tokens((self.tokens_per_success, (self.max_tokens / parts).max(1.0)))
     }
 }
 
-/// Returns how long to wait for a try that was expected to take `service_us`.
+/// Returns the time after which an attempt with an expected time of `service_us` is hedged.
 #[must_use]
 pub fn hedge_after(service_us: f64) -> MicroTime {
     MicroTime((service_us * HEDGE_FACTOR) as u64)
 }
 
-/// How one try of a call ended.
+/// Result of one attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A target answered, whatever it said.
+    /// A target answered without a failure of its own.
     Answered,
     /// The call was not sent to the target.
     Refused,
-    /// The target had the call and says that it did not run it.
+    /// The target received the call and reports that it did not run it.
     Declined,
     /// A target answered that it failed; its answer may be delivered.
     Failed,
-    /// The call may have run there.
+    /// The call may have run at the target, without an answer.
     Lost,
-    /// An earlier call with its key is certain not to run; this one may.
+    /// An earlier call with the same idempotency key is certain not to run; this call may take
+    /// over its claim.
     TakeOver,
 }
 
-/// What to do after a try.
+/// Decision after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Give the caller the target's answer.
+    /// Deliver the target's answer to the caller.
     Deliver,
     /// Try another target.
     Retry,
-    /// Tell the caller that the call did not run.
+    /// Report to the caller that the call did not run.
     ReportNotRun,
-    /// Tell the caller that the call may have run.
+    /// Report to the caller that the call may have run.
     ReportUnknown,
 }
 
-/// The course of one call over its tries.
+/// Attempts of one call.
 ///
-/// Invariants: at most [`MAX_ATTEMPTS`] tries one after the other, and at most
-/// `attempts` that reach a target, those beside others included; after a lost
-/// try it never says `TellNotRun`, and a call that must not repeat is not tried
-/// again.
+/// Invariants: at most [`MAX_ATTEMPTS`] consecutive attempts, and at most `max_sent` that reach a
+/// target, hedges included; after a lost attempt the decision is never `ReportNotRun`, and a call
+/// that is not repeatable is not retried.
 #[derive(Clone, Debug)]
 pub struct CallAttempts {
     repeatable: bool,
-    attempts: u32,
-    tries: u32,
-    /// Tries that reached a target.
-    reached: u32,
-    lost: bool,
+    /// Maximum number of attempts that reach a target.
+    max_sent: u32,
+    /// Number of ended attempts, apart from hedges.
+    ended: u32,
+    /// Number of attempts that reached a target, hedges included.
+    sent: u32,
+    /// Whether the call may have run.
+    may_have_run: bool,
 }
 
 impl CallAttempts {
-    /// Opens the course of a call.
+    /// Starts a call that reaches targets at most `max_sent` times.
     #[must_use]
-    pub const fn open(repeatable: bool, attempts: u32) -> Self {
-        Self { repeatable, attempts, tries: 0, reached: 0, lost: false }
+    pub const fn open(repeatable: bool, max_sent: u32) -> Self {
+        Self { repeatable, max_sent, ended: 0, sent: 0, may_have_run: false }
     }
 
-    /// Takes the end of a try; `in_time` tells whether the deadline is ahead.
+    /// Records the result of an attempt; `in_time` tells whether the deadline is still ahead.
     pub fn record(
         &mut self,
-        end: AttemptResult,
+        result: AttemptResult,
         in_time: bool,
         budget: &mut RetryBudget,
     ) -> RetryDecision {
-        self.tries += 1;
-        let more = in_time && self.tries < MAX_ATTEMPTS;
-        match end {
+        self.ended += 1;
+        let more = in_time && self.ended < MAX_ATTEMPTS;
+        match result {
             AttemptResult::Answered => {
                 budget.record_success();
                 return RetryDecision::Deliver;
@@ -171,16 +180,16 @@
             }
             AttemptResult::Refused | AttemptResult::TakeOver => {}
             AttemptResult::Declined => {
-                self.reached += 1;
-                if more && self.reached < self.attempts && budget.try_take() {
+                self.sent += 1;
+                if more && self.sent < self.max_sent && budget.try_take() {
                     return RetryDecision::Retry;
                 }
             }
             AttemptResult::Lost | AttemptResult::Failed => {
-                self.lost = true;
-                self.reached += 1;
-                let again = more && self.repeatable && self.reached < self.attempts;
-                if again && budget.try_take() {
+                self.may_have_run = true;
+                self.sent += 1;
+                let may_retry = more && self.repeatable && self.sent < self.max_sent;
+                if may_retry && budget.try_take() {
                     return RetryDecision::Retry;
                 }
             }
@@ -188,27 +197,27 @@
         self.failure_decision()
     }
 
-    /// Tells whether a try beside the present one may reach a target; the present
-    /// one has not ended, so it is not counted yet.
+    /// Returns whether a hedge parallel to the present attempt may reach a target. The present
+    /// attempt has not ended, so it is not counted in `sent` yet.
     #[must_use]
     pub const fn may_hedge(&self) -> bool {
-        self.repeatable && self.reached + 1 < self.attempts
+        self.repeatable && self.sent + 1 < self.max_sent
     }
 
-    /// Counts a try beside the present one.
+    /// Counts a hedge parallel to the present attempt.
     pub const fn count_hedge(&mut self) {
-        self.reached += 1;
+        self.sent += 1;
     }
 
-    /// Tells whether no try may follow the next one.
+    /// Returns whether no attempt may follow the next one.
     #[must_use]
     pub const fn is_last_attempt(&self) -> bool {
-        self.tries + 1 >= MAX_ATTEMPTS
+        self.ended + 1 >= MAX_ATTEMPTS
     }
 
-    /// Returns what to tell when no target is left to try.
+    /// Returns what to report to the caller if no target is left to try.
     #[must_use]
     pub const fn failure_decision(&self) -> RetryDecision {
-        if self.lost { RetryDecision::ReportUnknown } else { RetryDecision::ReportNotRun }
+        if self.may_have_run { RetryDecision::ReportUnknown } else { RetryDecision::ReportNotRun }
     }
 }
