--- a/src/decide/commit_backoff.rs
+++ b/src/decide/commit_backoff.rs
@@ -1,74 +1,81 @@
-//! How often a daemon writes to the table, so that the fleet stays within it.
+//! Delay between a daemon's transactions, which keeps the fleet within the table's rate limit.
 //!
-//! Pure. The table refuses what is over its rate. A daemon that is refused
-//! waits longer and carries more in its next transaction; one that is not
-//! shortens its wait little by little.
+//! The table rejects transactions above its rate. A daemon whose transaction was rejected waits
+//! longer and sends more updates in its next one; a daemon whose transactions are processed
+//! shortens its delay gradually.
 
 use crate::base::clock::MicroTime;
 
-/// Shortest and longest wait between two transactions.
-const PAUSE_BOUNDS: (MicroTime, MicroTime) =
+/// Shortest and longest delay between two transactions.
+const DELAY_BOUNDS: (MicroTime, MicroTime) =
     (MicroTime::from_millis(2), MicroTime::from_millis(400));
 
-/// Refusals in a row that span this long mean that the table is down.
+/// Duration of uninterrupted rejections after which the table counts as down.
 const DOWN_AFTER: MicroTime = MicroTime::from_millis(1_000);
 
-/// Transactions without a refusal after which the wait is shortened.
-const CALM: u32 = 8;
+/// Number of consecutive processed transactions after which the delay is shortened.
+const SUCCESSES_PER_DECREASE: u32 = 8;
 
-/// The pace of one daemon.
+/// Adaptive delay between the transactions of one daemon.
 ///
-/// Invariants: the wait stays within its bounds; each refusal doubles it;
-/// [`CommitBackoff::is_down`] holds only while nothing was accepted since.
+/// Invariants: the delay stays within [`DELAY_BOUNDS`]; each failure doubles it, up to the upper
+/// bound; [`CommitBackoff::is_down`] is true only while there was no success since the first
+/// failure.
 #[derive(Clone, Debug)]
 pub struct CommitBackoff {
-    pause: MicroTime,
-    accepted: u32,
-    refused_since: Option<MicroTime>,
+    delay: MicroTime,
+    /// Consecutive successes since the last change of the delay.
+    successes: u32,
+    /// Time of the first failure since the last success.
+    failing_since: Option<MicroTime>,
 }
 
 impl CommitBackoff {
-    /// Opens the pace at its shortest wait.
+    /// Creates the backoff with the shortest delay.
     #[must_use]
     pub const fn open() -> Self {
-        Self { pause: PAUSE_BOUNDS.0, accepted: 0, refused_since: None }
+        Self { delay: DELAY_BOUNDS.0, successes: 0, failing_since: None }
     }
 
-    /// Returns the wait before the next transaction.
+    /// Returns the delay before the next transaction.
     #[must_use]
     pub const fn delay(&self) -> MicroTime {
-        self.pause
+        self.delay
     }
 
-    /// Notes that the table answered a transaction.
+    /// Records that the table processed a transaction, whether or not it was committed.
     pub fn record_success(&mut self) {
-        self.refused_since = None;
-        self.accepted += 1;
-        if self.accepted >= CALM {
-            self.accepted = 0;
-            self.pause = MicroTime(self.pause.0 * 7 / 8).max(PAUSE_BOUNDS.0);
+        self.failing_since = None;
+        self.successes += 1;
+        if self.successes >= SUCCESSES_PER_DECREASE {
+            self.successes = 0;
+            self.delay = MicroTime(self.delay.0 * 7 / 8).max(DELAY_BOUNDS.0);
         }
         self.check();
     }
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let bounds = PAUSE_BOUNDS.0..=PAUSE_BOUNDS.1;
-        debug_assert!(bounds.contains(&self.pause), "{:?} is out of bounds", self.pause);
-        debug_assert!(self.accepted < CALM, "{} transactions count", self.accepted);
+        let bounds = DELAY_BOUNDS.0..=DELAY_BOUNDS.1;
+        debug_assert!(bounds.contains(&self.delay), "delay {:?} is out of bounds", self.delay);
+        debug_assert!(
+            self.successes < SUCCESSES_PER_DECREASE,
+            "{} successes without a decrease",
+            self.successes
+        );
     }
 
-    /// Notes that the table refused a transaction, or can't be reached.
+    /// Records that the table rejected a transaction or can't be reached.
     pub fn record_failure(&mut self, now: MicroTime) {
-        self.accepted = 0;
-        self.refused_since.get_or_insert(now);
-        self.pause = MicroTime(self.pause.0 * 2).min(PAUSE_BOUNDS.1);
+        self.successes = 0;
+        self.failing_since.get_or_insert(now);
+        self.delay = MicroTime(self.delay.0 * 2).min(DELAY_BOUNDS.1);
         self.check();
     }
 
-    /// Tells whether the table is down rather than busy.
+    /// Returns whether the table counts as down rather than busy.
     #[must_use]
     pub fn is_down(&self, now: MicroTime) -> bool {
-        self.refused_since.is_some_and(|since| now.since(since) >= DOWN_AFTER)
+        self.failing_since.is_some_and(|since| now.since(since) >= DOWN_AFTER)
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision about a call: choose, admit, limit, retry, order, remember.
+//! Decisions about calls: target selection, admission, concurrency limits, quotas, retries.
 //!
-//! Kernels only: plain structs driven by the time and an event, without clock,
-//! socket or runtime, so that tests play any order of events. They use
-//! `base` alone.
+//! Every module is a pure state machine: plain structs that get the current time and an
+//! event, without a clock, sockets or a runtime. Tests can therefore replay events in any
+//! order. These modules depend on `base` alone.
 
 pub(crate) mod admission;
 pub(crate) mod benefit;
--- a/src/decide/probe_budget.rs
+++ b/src/decide/probe_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of messages that only measure.
+//! Rate limit on load probes: messages that only measure the load of targets.
 
 use std::collections::VecDeque;
 
@@ -6,10 +6,10 @@
 
 use crate::base::clock::MicroTime;
 
-/// Length of the window that the budget is set for.
+/// Length of the sliding window to which the limits apply.
 const WINDOW: MicroTime = MicroTime::from_millis(1_000);
 
-/// What was granted at one moment.
+/// Messages and bytes granted at one moment.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct BudgetGrant {
     at: MicroTime,
@@ -17,26 +17,26 @@
     bytes: u32,
 }
 
-/// A hard limit on measuring messages and their bytes.
+/// Hard limit on the number of probe messages and on their bytes.
 ///
-/// Invariant: in no window of one second, wherever it begins, is more granted
-/// than a second's budget. Time that stands still or goes back grants nothing
-/// anew.
+/// Invariant: within any window of one second, no more than the limits for a second is granted.
+/// Time that stands still or goes backwards adds nothing to the budget.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProbeBudget {
     messages_per_s: u64,
     bytes_per_s: u64,
     /// Grants of the last second, oldest first.
     grants: VecDeque<BudgetGrant>,
-    /// Sums over `grants`.
+    /// Sum of the messages in `grants`.
     messages: u64,
+    /// Sum of the bytes in `grants`.
     bytes: u64,
-    /// The greatest time seen.
+    /// Latest time passed in.
     latest: MicroTime,
 }
 
 impl ProbeBudget {
-    /// Opens a budget of so many messages and bytes in a second.
+    /// Creates a budget of `messages_per_s` messages and `bytes_per_s` bytes in a second.
     #[must_use]
     pub const fn open(messages_per_s: u32, bytes_per_s: u32) -> Self {
         Self {
@@ -49,16 +49,17 @@
         }
     }
 
-    /// Tells whether nothing is ever granted.
+    /// Returns whether the budget never grants anything.
     #[must_use]
     pub const fn is_zero(&self) -> bool {
         self.messages_per_s == 0 || self.bytes_per_s == 0
     }
 
-    /// Takes leave to send `messages` of `bytes` in all, or nothing.
+    /// Takes `messages` messages of `bytes` bytes in total from the budget; returns `false` and
+    /// takes nothing if they exceed it.
     pub fn take(&mut self, now: MicroTime, messages: u32, bytes: u32) -> bool {
         self.latest = self.latest.max(now);
-        self.forget();
+        self.drop_expired();
         let fits = self.messages + u64::from(messages) <= self.messages_per_s
             && self.bytes + u64::from(bytes) <= self.bytes_per_s;
         if fits {
@@ -69,8 +70,8 @@
         fits
     }
 
-    /// Drops the grants that are a second old.
-    fn forget(&mut self) {
+    /// Drops the grants that have left the window.
+    fn drop_expired(&mut self) {
         while let Some(grant) = self.grants.front() {
             if self.latest.since(grant.at) < WINDOW {
                 return;
--- a/src/decide/report_pacer.rs
+++ b/src/decide/report_pacer.rs
@@ -1,38 +1,40 @@
-//! When a guard may tell those who listen to it something again.
+//! Pacing of the load reports that a guard sends to its watchers.
 //!
-//! Pure. Answers load that changes all the time, of which not every change can be told:
-//! what is told comes evenly, each time as soon as the bytes before are paid for. A
-//! budget of a second, spent as it comes, is spent in the first tenth of it, and the
-//! rest of the second is decided on what was told then.
+//! Load changes all the time, and not every change can be reported. Reports are spaced evenly:
+//! each is sent as soon as the rate permits the bytes of those before it. A budget per second
+//! would be used up in the first tenth of the second, and the calls of the remaining time would
+//! be placed according to outdated reports.
 
 use serde::Serialize;
 
 use crate::base::clock::MicroTime;
 
-/// The pace of reports to one group of listeners.
+/// Pacer of the reports to one group of watchers.
 ///
-/// Invariant: over any time, no more bytes are granted than the rate allows in it and
-/// one report to all.
+/// Invariant: over any time, no more bytes are granted than the rate permits plus one report to
+/// all watchers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ReportPacer {
     bytes_per_s: u32,
-    /// When the next report may go out.
-    next: MicroTime,
+    /// Time from which on the next report may be sent.
+    #[serde(rename = "next")]
+    next_at: MicroTime,
 }
 
 impl ReportPacer {
-    /// Opens the pace of so many bytes in a second.
+    /// Creates a pacer with a rate of `bytes_per_s`.
     #[must_use]
     pub const fn open(bytes_per_s: u32) -> Self {
-        Self { bytes_per_s, next: MicroTime(0) }
+        Self { bytes_per_s, next_at: MicroTime(0) }
     }
 
-    /// Takes leave to send a report of so many bytes to all listeners together.
+    /// Requests permission to send a report of `bytes` bytes to all watchers together; returns
+    /// whether it may be sent now.
     pub fn take(&mut self, now: MicroTime, bytes: u64) -> bool {
-        if now < self.next {
+        if now < self.next_at {
             return false;
         }
-        self.next = now + MicroTime(bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1)));
+        self.next_at = now + MicroTime(bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1)));
         true
     }
 }
