--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -296,7 +296,7 @@
         let targets = &self.entries[entry].service.targets;
         let target =
             target_index(&targets[self.streams.policy.random_range(0..targets.len())].name);
-        if self.entries[entry].probe_budget.take(self.now, 2, PROBE_BYTES) {
+        if self.entries[entry].probe_budget.try_take(self.now, 2, PROBE_BYTES) {
             self.result.probe_messages += 2;
             self.result.probe_bytes += u64::from(PROBE_BYTES);
             let at = self.now + self.hop();
--- a/src/call/entry/measure.rs
+++ b/src/call/entry/measure.rs
@@ -33,7 +33,7 @@
     };
     let Ok(bytes) = wire::encode(&GuardDatagram::Probe(request)) else { return };
     let cost = bytes.len() as u32 * 2 + REPLY_EXTRA;
-    if !duty.probe_budget.borrow_mut().take(duty.clock.now(), 2, cost) {
+    if !duty.probe_budget.borrow_mut().try_take(duty.clock.now(), 2, cost) {
         return;
     }
     if duty.probe_socket.try_send_to(&bytes, place.guard).is_ok() {
--- a/src/call/guard/reporting.rs
+++ b/src/call/guard/reporting.rs
@@ -64,7 +64,7 @@
     /// Tells whether the group may be told something now; if so, it counts as told.
     fn take_turn(&self, now: MicroTime) -> bool {
         let bytes = self.changes.receiver_count() as u64 * REPORT_BYTES;
-        self.pace.borrow_mut().take(now, bytes)
+        self.pace.borrow_mut().try_take(now, bytes)
     }
 }
 
--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -3,8 +3,8 @@
 //! Every event carries the time. The number of running calls is limited to the number at
 //! which the target answers the most calls per second, which may be less than its slots.
 //! A short queue holds further calls, ordered by priority, then by account (the one that
-//! uses the least of its share first), then by earliest deadline; in overload, by newest
-//! arrival instead. While the host is in a slow period, calls that would be late if they
+//! uses the least of its share first), then by earliest deadline; in overload, by latest
+//! deadline instead, which puts the newest calls first. While the host is in a slow period, calls that would be late if they
 //! started now wait for its end or are sent on to another target. A cold target starts at
 //! most as many calls per second as it can sustain; the queue order decides which. A call
 //! that can't be served in time is refused at once, unless it can use capacity that no
@@ -43,14 +43,13 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 
 /// Service time assumed before the first answer, in microseconds.
-const FIRST_SERVICE_US: f64 = 10_000.0;
+const INITIAL_SERVICE_US: f64 = 10_000.0;
 
 /// A call that occupies a slot.
 #[derive(Clone, Debug)]
 struct RunningCall {
     account: AccountName,
-    /// Time at which it started.
-    since: MicroTime,
+    started_at: MicroTime,
     /// Expected service time on a host of normal speed, in microseconds; zero if unknown.
     work_us: u32,
     /// Slowness factor of the host when it started.
@@ -73,11 +72,15 @@
     running_time_us: f64,
     running: HashMap<CallId, RunningCall>,
     waiting: Vec<WaitingCall>,
+    /// Moving average of the service time, in microseconds.
     service_us: f64,
     /// Latest slowness reported by the target, in percent; zero before the first report.
     slowness: u16,
+    /// Moving average of the fraction of failed answers.
     failing: f64,
+    /// Whether all calls are refused because the target is leaving.
     leaving: bool,
+    /// Sequence number of the latest load report.
     sequence: u64,
     /// Latest time at which a call reached its queue deadline without a slot.
     last_expiry: Option<MicroTime>,
@@ -96,7 +99,7 @@
             running_time_us: 0.0,
             running: HashMap::new(),
             waiting: Vec::new(),
-            service_us: FIRST_SERVICE_US,
+            service_us: INITIAL_SERVICE_US,
             slowness: 0,
             failing: 0.0,
             leaving: false,
@@ -192,7 +195,7 @@
     ///
     /// Calls that can start because of it do so in the next [`Self::step`].
     pub fn note_slowness(&mut self, now: MicroTime, percent: u16) {
-        self.speed.note(now, percent);
+        self.speed.note_slowness(now, percent);
         self.slowness = percent;
     }
 
@@ -271,6 +274,7 @@
         }
     }
 
+    /// Handles an arrival that could start at once.
     fn arrive_at_free_slot(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
         if call.deadline <= self.now {
             out.push(self.refuse(call.call, RefusalReason::TooLate));
@@ -300,6 +304,7 @@
         self.limit() / SHORT_QUEUE_DIVISOR
     }
 
+    /// Frees the slot of a call and updates the statistics, unless it was never dispatched.
     fn finish(&mut self, call: CallId, took: Option<MicroTime>, failed: bool) {
         let Some(ended) = self.running.remove(&call) else { return };
         let Some(took) = took else { return };
@@ -314,7 +319,7 @@
     /// Passes on to the concurrency limit by which factor an answered call took longer than
     /// normal, apart from the host's slowness.
     fn record_slowdown(&mut self, ended: &RunningCall) {
-        let ran = self.now.since(ended.since).0 as f64;
+        let ran = self.now.since(ended.started_at).0 as f64;
         if ended.work_us == 0 || ran <= 0.0 {
             return;
         }
@@ -365,7 +370,7 @@
     fn start_call(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
         let running = RunningCall {
             account: call.account,
-            since: self.now,
+            started_at: self.now,
             work_us: call.work_us,
             slowness: self.speed.slowness(),
             running_time_at_start: self.running_time_us,
--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -75,7 +75,7 @@
 impl HostSpeed {
     /// Records the reported duration of work in percent of the normal one; zero means that
     /// the target reports none.
-    pub fn note(&mut self, now: MicroTime, percent: u16) {
+    pub fn note_slowness(&mut self, now: MicroTime, percent: u16) {
         if percent == 0 {
             return;
         }
--- a/src/decide/probe_budget.rs
+++ b/src/decide/probe_budget.rs
@@ -57,7 +57,7 @@
 
     /// Takes `messages` messages of `bytes` bytes in total from the budget; returns `false` and
     /// takes nothing if they exceed it.
-    pub fn take(&mut self, now: MicroTime, messages: u32, bytes: u32) -> bool {
+    pub fn try_take(&mut self, now: MicroTime, messages: u32, bytes: u32) -> bool {
         self.latest = self.latest.max(now);
         self.drop_expired();
         let fits = self.messages + u64::from(messages) <= self.messages_per_s
--- a/src/decide/report_pacer.rs
+++ b/src/decide/report_pacer.rs
@@ -30,7 +30,7 @@
 
     /// Requests permission to send a report of `bytes` bytes to all watchers together; returns
     /// whether it may be sent now.
-    pub fn take(&mut self, now: MicroTime, bytes: u64) -> bool {
+    pub fn try_take(&mut self, now: MicroTime, bytes: u64) -> bool {
         if now < self.next_at {
             return false;
         }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -32,7 +32,7 @@
         for (passed, messages, bytes) in steps {
             clock = (clock + passed).max(0);
             latest = latest.max(clock as u64);
-            if budget.take(MicroTime(clock as u64), messages, bytes) {
+            if budget.try_take(MicroTime(clock as u64), messages, bytes) {
                 granted.push((latest, u64::from(messages), u64::from(bytes)));
             }
         }
--- a/tests/host_speed.rs
+++ b/tests/host_speed.rs
@@ -13,7 +13,7 @@
     let mut speed = HostSpeed::default();
     for spell in 0..=400_u64 {
         let percent = if spell % 4 == 0 { 500 } else { 100 };
-        speed.note(MicroTime::from_millis(spell * 150), percent);
+        speed.note_slowness(MicroTime::from_millis(spell * 150), percent);
     }
     speed
 }
@@ -37,7 +37,7 @@
 #[test]
 fn nothing_waits_once_a_spell_is_over() {
     let mut speed = in_slow_spell();
-    speed.note(MicroTime::from_millis(401 * 150), 100);
+    speed.note_slowness(MicroTime::from_millis(401 * 150), 100);
     assert!(!speed.is_worth_waiting(200_000.0));
     assert!((speed.expected_us(200_000.0) - 200_000.0).abs() < 1.0);
 }
@@ -46,9 +46,9 @@
 #[test]
 fn a_host_that_stays_slow_is_taken_as_it_is() {
     let mut speed = HostSpeed::default();
-    speed.note(MicroTime(0), 100);
+    speed.note_slowness(MicroTime(0), 100);
     for word in 0..60 {
-        speed.note(MicroTime::from_millis(word * 100), 400);
+        speed.note_slowness(MicroTime::from_millis(word * 100), 400);
     }
     assert!(!speed.is_worth_waiting(1_000_000.0));
 }
@@ -65,13 +65,13 @@
     ) {
         let mut speed = HostSpeed::default();
         for (now, percent) in words {
-            speed.note(MicroTime(u64::from(now)), percent);
+            speed.note_slowness(MicroTime(u64::from(now)), percent);
             let time = speed.expected_us(f64::from(work_us));
             prop_assert!(time.is_finite() && time >= 0.0);
             prop_assert!(speed.slowness().is_finite() && speed.slowness() > 0.0);
         }
         for word in 0..200 {
-            speed.note(MicroTime(u64::from(u32::MAX) + word * 100_000), 700);
+            speed.note_slowness(MicroTime(u64::from(u32::MAX) + word * 100_000), 700);
         }
         prop_assert!(!speed.is_worth_waiting(f64::from(work_us)));
     }
--- a/tests/report_pacer.rs
+++ b/tests/report_pacer.rs
@@ -24,7 +24,7 @@
         let mut granted: Vec<u64> = Vec::new();
         for gap in gaps {
             now = now + MicroTime(gap);
-            if pacer.take(now, listeners * REPORT) {
+            if pacer.try_take(now, listeners * REPORT) {
                 granted.push(now.0);
             }
         }
@@ -60,10 +60,10 @@
 #[test]
 fn those_near_know_more_than_by_a_budget_of_seconds() {
     let mut budget = ProbeBudget::open(u32::MAX, 10_000);
-    let by_second = mean_age_ms(|now| budget.take(now, 48, 48 * REPORT as u32));
+    let by_second = mean_age_ms(|now| budget.try_take(now, 48, 48 * REPORT as u32));
     let (mut near, mut far) = (ReportPacer::open(8_000), ReportPacer::open(2_000));
-    let near_ms = mean_age_ms(|now| near.take(now, 24 * REPORT));
-    let far_ms = mean_age_ms(|now| far.take(now, 24 * REPORT));
+    let near_ms = mean_age_ms(|now| near.try_take(now, 24 * REPORT));
+    let far_ms = mean_age_ms(|now| far.try_take(now, 24 * REPORT));
     assert!(near_ms * 4 < by_second, "{near_ms} near, {by_second} by the second");
     assert!(far_ms < by_second, "{far_ms} far, {by_second} by the second");
 }
