--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -82,7 +82,7 @@
         id: &str,
     ) -> Result<(), Response<EntryBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
-        let want = match self.stock(&account.name, |stock| stock.arrive(self.clock.now())) {
+        let want = match self.stock(&account.name, |stock| stock.decide(self.clock.now())) {
             QuotaDecision::Admit => return Ok(()),
             QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
             QuotaDecision::AskHolder(want) => want,
--- a/src/call/guard/guarded_call.rs
+++ b/src/call/guard/guarded_call.rs
@@ -100,7 +100,7 @@
         if head.incarnation != self.incarnation || !self.targets.borrow().contains_key(&call.key) {
             return Err(Some(self.refusal(call, RefusalReason::Absent, LEAVING_RETRY_MS)));
         }
-        if !self.ledger.borrow_mut().arrive(self.clock.now(), head.call) {
+        if !self.ledger.borrow_mut().register(self.clock.now(), head.call) {
             return Err(Some(self.refusal(call, RefusalReason::Revoked, LEAVING_RETRY_MS)));
         }
         self.learn_suspects(&[SuspectNotice { digest: head.digest, record: head.suspect }]);
@@ -133,7 +133,7 @@
         let in_time = self.clock.now() < call.deadline;
         // The last look: what became known while the call waited holds for it, too.
         let harmless = self.begin_run(call);
-        if harmless.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
+        if harmless.is_ok() && in_time && self.ledger.borrow_mut().try_dispatch(head.call) {
             return Ok(claim);
         }
         self.end_run(call, RunEnd::NotRun);
--- a/src/call/guard/target_life.rs
+++ b/src/call/guard/target_life.rs
@@ -143,7 +143,7 @@
                 return;
             }
             life = target.life;
-            target.lease.end();
+            target.lease.mark_ended();
             self.pool.forget(target.announcement.address);
         }
         // Of a target that is not known, too.
@@ -162,7 +162,7 @@
         let mut found = false;
         for target in self.targets.borrow_mut().values_mut() {
             if target.announcement.target == *name {
-                target.lease.drain(drained);
+                target.lease.set_drained(drained);
                 found = true;
             }
         }
