--- a/benches/capacity/members.rs
+++ b/benches/capacity/members.rs
@@ -34,7 +34,7 @@
     let others: Vec<MemberRecord> = (1..size).map(record).collect();
     let exchange: usize =
         others.iter().filter_map(|record| encode(record).ok()).map(|b| b.len()).sum();
-    state.step(MicroTime(0), MembershipEvent::Learn(others), &mut rng, &mut out);
+    state.step(MicroTime(0), MembershipEvent::RecordsReceived(others), &mut rng, &mut out);
     let memory = (super::usage::read(std::process::id()).memory_mib - before) * 1_024.0;
 
     // The first periods spread the news of everybody; then it is calm.
--- a/benches/capacity/table.rs
+++ b/benches/capacity/table.rs
@@ -64,7 +64,7 @@
             record.peer = SocketAddr::from(([127, 0, 0, 1], 9));
             TableWrite {
                 key: format!("fleet-member-{}", record.host),
-                expect: None,
+                expected_version: None,
                 value: serde_json::to_string(&record).ok(),
             }
         })
--- a/src/call/guard/guarded_call.rs
+++ b/src/call/guard/guarded_call.rs
@@ -138,7 +138,11 @@
         }
         self.end_run(call, RunEnd::NotRun);
         if let Some(claim) = claim {
-            self.write(TableWrite { key: claim.key, expect: Some(claim.version), value: None });
+            self.write(TableWrite {
+                key: claim.key,
+                expected_version: Some(claim.version),
+                value: None,
+            });
         }
         self.bury(call);
         let late = if in_time { RefusalReason::Revoked } else { RefusalReason::TooLate };
@@ -195,7 +199,7 @@
         let request = ClaimRequest {
             key: claim.row.clone(),
             row: row.clone(),
-            expect: claim.takeover.unwrap_or(0),
+            expected_version: claim.takeover.unwrap_or(0),
             reply,
         };
         let down = || self.refusal(call, RefusalReason::PlatformDown, PLATFORM_RETRY_MS);
@@ -204,10 +208,10 @@
         let answer = timeout(CLAIM_TIMEOUT.min(left), answer).await;
         drop(place);
         match answer {
-            Ok(Ok(ClaimReply::Held(version))) => {
+            Ok(Ok(ClaimReply::Acquired(version))) => {
                 Ok(HeldClaim { key: claim.row.clone(), version, row })
             }
-            Ok(Ok(ClaimReply::Found { row, version })) => {
+            Ok(Ok(ClaimReply::HeldByOther { row, version })) => {
                 Err(AnswerHead::Claimed { call: head.call, row, version })
             }
             _ => Err(down()),
--- a/src/call/guard/served/mod.rs
+++ b/src/call/guard/served/mod.rs
@@ -238,12 +238,12 @@
         row.state = match status {
             CallStatus::Answered(answer) => ClaimState::Answered(answer.clone()),
             CallStatus::NotRun => {
-                self.duty.write(TableWrite { key, expect: Some(version), value: None });
+                self.duty.write(TableWrite { key, expected_version: Some(version), value: None });
                 return;
             }
             CallStatus::Running | CallStatus::Unknown => ClaimState::Unknown,
         };
         let value = serde_json::to_string(&row).ok();
-        self.duty.write(TableWrite { key, expect: Some(version), value });
+        self.duty.write(TableWrite { key, expected_version: Some(version), value });
     }
 }
--- a/src/command/publish.rs
+++ b/src/command/publish.rs
@@ -63,7 +63,7 @@
     let end = match error {
         PublishError::Conflict { .. } => CommandEnd::Refused,
         PublishError::NotPublished { .. } => CommandEnd::Unreachable,
-        PublishError::Unsettled { .. } => CommandEnd::Unknown,
+        PublishError::OutcomeUnknown { .. } => CommandEnd::Unknown,
     };
     CommandOutput::new(end, error.to_string())
 }
--- a/src/durable/commits.rs
+++ b/src/durable/commits.rs
@@ -73,7 +73,7 @@
                     self.pace.borrow_mut().accept();
                     self.sort_out(batch, &reply)
                 }
-                Err(PlatformError::Lost { .. }) => return self.read_back(batch).await,
+                Err(PlatformError::ReplyLost { .. }) => return self.read_back(batch).await,
                 Err(_down) => {
                     self.pace.borrow_mut().refuse(self.clock.now());
                     return self.put_back(batch);
@@ -104,7 +104,7 @@
                 (PendingWrite::Claim(_), Some(row)) => pending.found(row),
                 (PendingWrite::Claim(request), None) if missing => {
                     // The row to take over was released meanwhile.
-                    request.expect = 0;
+                    request.expected_version = 0;
                     rest.push(pending);
                 }
                 // An outcome that conflicts was written before, or is void.
@@ -143,8 +143,8 @@
     /// Hands out a claim, or releases it if nobody waits for it any more.
     pub(super) fn hold(&self, request: ClaimRequest, version: u64) {
         let key = request.key;
-        if request.reply.send(ClaimReply::Held(version)).is_err() {
-            self.keep_write(TableWrite { key, expect: Some(version), value: None });
+        if request.reply.send(ClaimReply::Acquired(version)).is_err() {
+            self.keep_write(TableWrite { key, expected_version: Some(version), value: None });
         }
     }
 
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -73,7 +73,7 @@
 
 /// What the duty needs to run.
 #[derive(Debug)]
-pub(crate) struct DurableParts {
+pub(crate) struct PlatformParts {
     pub(crate) client: PlatformClient,
     pub(crate) own: MemberRecord,
     pub(crate) seed: u64,
@@ -84,13 +84,13 @@
 
 /// Runs the duty until the thread's runtime ends.
 pub(crate) async fn run(
-    parts: DurableParts,
+    parts: PlatformParts,
     mut inbox: RingInbox<PlatformEvent>,
     rings: PlatformRings,
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let DurableParts { client, own, seed, source, first_start } = parts;
+    let PlatformParts { client, own, seed, source, first_start } = parts;
     let duty = Rc::new(PlatformDuty {
         client,
         revisions: RefCell::default(),
@@ -142,9 +142,9 @@
     fn count<T>(&self, kind: &str, result: &Result<T, PlatformError>) {
         let end = match result {
             Ok(_) => "ok",
-            Err(PlatformError::Down { .. }) => "down",
-            Err(PlatformError::Lost { .. }) => "lost",
-            Err(PlatformError::Bad { .. }) => "bad",
+            Err(PlatformError::Unavailable { .. }) => "down",
+            Err(PlatformError::ReplyLost { .. }) => "lost",
+            Err(PlatformError::InvalidData { .. }) => "bad",
         };
         self.metrics.platform.with_label_values(&[&format!("{kind}_{end}")]).inc();
     }
--- a/src/durable/revisions.rs
+++ b/src/durable/revisions.rs
@@ -67,7 +67,7 @@
                         self.tell_store(true);
                     }
                     failures += 1;
-                    if matches!(error, PlatformError::Bad { .. }) {
+                    if matches!(error, PlatformError::InvalidData { .. }) {
                         cursor = 0;
                     }
                     tokio::time::sleep(self.retry_pause(failures)).await;
@@ -79,7 +79,7 @@
     /// Takes what the operator wrote; `false` if that is nothing.
     fn take_update(&self, update: ConfigUpdate) -> bool {
         let told = update.config.is_some() || update.evacuations.is_some();
-        if let Some(why) = update.fault {
+        if let Some(why) = update.config_error {
             warn!(self.logger, "configuration refused"; "why" => why);
         }
         if let Some(config) = update.config {
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -141,8 +141,9 @@
 
     pub(super) async fn write_row(&self, own: &MemberRecord) -> Result<u64, PlatformError> {
         let value = serde_json::to_string(own);
-        let value = value.map_err(|error| PlatformError::Bad { reason: error.to_string() })?;
-        let write = TableWrite { key: member_key(own), expect: None, value: Some(value) };
+        let value =
+            value.map_err(|error| PlatformError::InvalidData { reason: error.to_string() })?;
+        let write = TableWrite { key: member_key(own), expected_version: None, value: Some(value) };
         let written = self.client.commit(&[write]).await;
         self.count("announce", &written);
         Ok(written?.versions.first().copied().unwrap_or_default())
@@ -151,7 +152,8 @@
     /// Removes the own row, unless a later life of this daemon wrote it anew.
     pub(super) async fn withdraw(self: Rc<Self>, own: MemberRecord, done: oneshot::Sender<()>) {
         if let Some(version) = self.own_row.get() {
-            let write = TableWrite { key: member_key(&own), expect: Some(version), value: None };
+            let write =
+                TableWrite { key: member_key(&own), expected_version: Some(version), value: None };
             self.count("withdraw", &self.client.commit(&[write]).await);
         }
         _ = done.send(());
--- a/src/fleet/membership/events.rs
+++ b/src/fleet/membership/events.rs
@@ -20,7 +20,7 @@
         message: GossipMessage,
     },
     /// The own targets or revision changed.
-    Local {
+    OwnChanged {
         /// All own targets.
         targets: Vec<TargetNotice>,
         /// The revision in force.
@@ -31,16 +31,16 @@
     /// The store was read for evacuations.
     Evacuation(EvacuationNotice),
     /// Requests are suspected of ending targets.
-    Suspect {
+    SuspectRequests {
         /// What is known of them.
         notices: Vec<SuspectNotice>,
         /// Whether that was seen here, so that nobody else knows it yet.
         first_hand: bool,
     },
     /// Records came from the table or from a full exchange.
-    Learn(Vec<MemberRecord>),
+    RecordsReceived(Vec<MemberRecord>),
     /// A call did not reach a member.
-    Unreached(HostName),
+    MemberUnreachable(HostName),
     /// The daemon is about to stop.
     Leave,
 }
@@ -56,18 +56,18 @@
         message: GossipMessage,
     },
     /// The view changed.
-    Changed,
+    ViewChanged,
     /// Other data centres than before are evacuated.
-    Evacuated,
+    EvacuationChanged,
     /// More is known of suspected requests than before.
-    Suspected(Vec<SuspectNotice>),
+    SuspectRequestsChanged(Vec<SuspectNotice>),
     /// Something else is believed of a member than before.
-    Believed {
+    MemberChanged {
         /// The member as it is believed to be now.
         record: MemberRecord,
     },
     /// A peer has a newer revision than this daemon.
-    NewerRevision {
+    FetchRevision {
         /// Where the peer hands it out.
         peer: SocketAddr,
     },
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -30,7 +30,7 @@
 use crate::base::evacuation::EvacuationNotice;
 use crate::base::ids::HostName;
 use crate::base::member::{FleetView, MemberRecord, MemberState, SYNC_BUCKETS, TargetNotice};
-use crate::fleet::follow;
+use crate::fleet::store_followers;
 pub use events::{MembershipAction, MembershipEvent};
 
 use dissemination::{NOTIFIED_AT_ONCE, PeerCounts};
@@ -141,16 +141,16 @@
             MembershipEvent::Message { from, message } => {
                 self.receive(now, from, message, rng, out);
             }
-            MembershipEvent::Local { targets, revision } => {
+            MembershipEvent::OwnChanged { targets, revision } => {
                 self.change_own(targets, revision, rng, out);
             }
             MembershipEvent::StoreLost(lost) => self.change_store(lost, rng, out),
             MembershipEvent::Evacuation(notice) => self.merge_evacuation(notice, rng, out),
-            MembershipEvent::Suspect { notices, first_hand } => {
+            MembershipEvent::SuspectRequests { notices, first_hand } => {
                 self.merge_suspects(now, &notices, first_hand, rng, out);
             }
-            MembershipEvent::Learn(records) => self.learn_whole(now, records, rng, out),
-            MembershipEvent::Unreached(host) => self.look_after(now, host, out),
+            MembershipEvent::RecordsReceived(records) => self.learn_whole(now, records, rng, out),
+            MembershipEvent::MemberUnreachable(host) => self.look_after(now, host, out),
             MembershipEvent::Leave => self.leave(rng, out),
         }
         if std::mem::take(&mut self.outbid) {
@@ -183,7 +183,7 @@
     /// Tells whether this daemon is one of those that follow the store.
     #[must_use]
     pub fn follows_store(&self) -> bool {
-        follow::follows_store(self.records(), &self.own.host)
+        store_followers::follows_store(self.records(), &self.own.host)
     }
 
     /// Tells whether any other daemon is believed to be up.
@@ -216,7 +216,7 @@
 
     /// Returns the records of all buckets whose digest differs from `theirs`.
     #[must_use]
-    pub fn differing(&self, theirs: &[u64]) -> Vec<MemberRecord> {
+    pub fn differing_records(&self, theirs: &[u64]) -> Vec<MemberRecord> {
         let own = self.bucket_digests();
         let differs = |bucket: usize| theirs.get(bucket) != own.get(bucket);
         self.records().filter(|record| differs(record.bucket())).cloned().collect()
@@ -282,7 +282,7 @@
         }
         let version = record.version + 1;
         self.update_own(|own| own.version = version);
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::ViewChanged);
         self.outbid = true;
     }
 
@@ -307,7 +307,7 @@
             own.revision = revision;
             own.version += 1;
         });
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::ViewChanged);
         self.notify_some(rng, out);
     }
 
@@ -319,7 +319,7 @@
         out: &mut Vec<MembershipAction>,
     ) {
         if self.evacuation.merge(notice) {
-            out.push(MembershipAction::Evacuated);
+            out.push(MembershipAction::EvacuationChanged);
             self.notify_of_revision(rng, out);
         }
     }
@@ -332,7 +332,7 @@
             own.store_lost = lost;
             own.version += 1;
         });
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::ViewChanged);
         self.notify_some(rng, out);
     }
 
@@ -351,7 +351,7 @@
                 target.ready = false;
             }
         });
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::ViewChanged);
         self.notify_some(rng, out);
     }
 
@@ -373,14 +373,14 @@
             before.state != record.state || before.incarnation != record.incarnation
         };
         if known.is_none_or(differs) {
-            out.push(MembershipAction::Believed { record: record.clone() });
+            out.push(MembershipAction::MemberChanged { record: record.clone() });
         }
         self.digest ^= record.digest();
         self.near_others = self.near_others + usize::from(is_near) - usize::from(was_near);
         let host = record.host.clone();
         self.updates.spread(&host);
         self.members.insert(host, KnownMember { record, since: now });
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::ViewChanged);
     }
 
     /// Returns what is known of one host.
--- a/src/fleet/membership/reception.rs
+++ b/src/fleet/membership/reception.rs
@@ -74,7 +74,7 @@
         if revision > self.own.revision
             && let Some(known) = self.members.get(&sender)
         {
-            out.push(MembershipAction::NewerRevision { peer: known.record.peer });
+            out.push(MembershipAction::FetchRevision { peer: known.record.peer });
         }
         if digest != self.digest {
             self.sync_with(now, &sender, rng, out);
--- a/src/fleet/membership/suspicion.rs
+++ b/src/fleet/membership/suspicion.rs
@@ -114,7 +114,7 @@
         if fresh.is_empty() {
             return;
         }
-        out.push(MembershipAction::Suspected(fresh.clone()));
+        out.push(MembershipAction::SuspectRequestsChanged(fresh.clone()));
         // A first crash suspects many, nearly all of them innocent and soon cleared: one
         // round of telling for the crash, and gossip for the rest.
         let urgent = |record: SuspectRecord| {
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -28,7 +28,7 @@
         let digests = self.membership.borrow().bucket_digests();
         let asked = client.exchange(tarpc::context::current(), digests);
         let records = timeout(PEER_TIMEOUT, asked).await.ok()?.ok()?;
-        self.step(MembershipEvent::Learn(records));
+        self.step(MembershipEvent::RecordsReceived(records));
         Rc::clone(&self).take_revision(&client).await
     }
 
@@ -83,10 +83,10 @@
         let digests = self.membership.borrow().bucket_digests();
         let asked = client.exchange(tarpc::context::current(), digests);
         let Ok(Ok(records)) = timeout(PEER_TIMEOUT, asked).await else { return };
-        self.step(MembershipEvent::Learn(records));
+        self.step(MembershipEvent::RecordsReceived(records));
         let theirs = client.digests(tarpc::context::current());
         let Ok(Ok(theirs)) = timeout(PEER_TIMEOUT, theirs).await else { return };
-        let offer = self.membership.borrow().differing(&theirs);
+        let offer = self.membership.borrow().differing_records(&theirs);
         if !offer.is_empty() {
             self.metrics.sync_records.inc_by(offer.len() as u64);
             drop(timeout(PEER_TIMEOUT, client.learn(tarpc::context::current(), offer)).await);
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -27,8 +27,8 @@
 use crate::base::wire;
 use crate::duty::events::{EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::ring::{RingInbox, RingSender};
-use crate::fleet::follow::FollowerRole;
 use crate::fleet::membership::{MembershipAction, MembershipEvent, MembershipState};
+use crate::fleet::store_followers::FollowerRole;
 use crate::rules::revision::ActiveRevision;
 use suspects::SuspectFeed;
 
@@ -156,7 +156,7 @@
                 let targets = self.membership.borrow().own().targets.clone();
                 let revision = active.head.revision;
                 *self.active.borrow_mut() = Some(active);
-                self.step(MembershipEvent::Local { targets, revision });
+                self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Evacuation(notice) => self.step(MembershipEvent::Evacuation(notice)),
             PeersEvent::Suspects { notices, source } => self.take_suspects(notices, source),
@@ -164,12 +164,12 @@
             // Who hears nobody is cut off itself.
             PeersEvent::Unreached(host) => {
                 if self.clock.now().since(self.heard.get()) < GOSSIP_PERIOD.into() {
-                    self.step(MembershipEvent::Unreached(host));
+                    self.step(MembershipEvent::MemberUnreachable(host));
                 }
             }
             PeersEvent::Local(targets) => {
                 let revision = self.membership.borrow().own().revision;
-                self.step(MembershipEvent::Local { targets, revision });
+                self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Dump(reply) => drop(reply.send(self.dump())),
             PeersEvent::Members(reply) => drop(reply.send(self.membership.borrow().view())),
@@ -188,18 +188,18 @@
         for action in actions {
             match action {
                 MembershipAction::Send { to, message } => self.send(to, &message),
-                MembershipAction::Believed { record } => {
+                MembershipAction::MemberChanged { record } => {
                     info!(self.logger, "member"; "member" => %record.host,
                         "state" => ?record.state, "version" => record.version,
                         "incarnation" => record.incarnation.0);
                 }
-                MembershipAction::Changed => {
+                MembershipAction::ViewChanged => {
                     *self.dirty.borrow_mut() = true;
                     self.order_changed.set(true);
                 }
-                MembershipAction::Suspected(notices) => self.note_suspects(&notices),
-                MembershipAction::Evacuated => self.evacuation_told.set(false),
-                MembershipAction::NewerRevision { peer } => self.fetch_revision(peer),
+                MembershipAction::SuspectRequestsChanged(notices) => self.note_suspects(&notices),
+                MembershipAction::EvacuationChanged => self.evacuation_told.set(false),
+                MembershipAction::FetchRevision { peer } => self.fetch_revision(peer),
                 MembershipAction::Sync { peer } => {
                     spawn_local(Rc::clone(self).exchange(peer));
                 }
@@ -302,7 +302,7 @@
     /// Learns from the table and from some peers; then the entry may serve.
     async fn join(self: Rc<Self>, members: Vec<MemberRecord>, reached: bool) {
         self.joining.replace(true);
-        self.step(MembershipEvent::Learn(members));
+        self.step(MembershipEvent::RecordsReceived(members));
         self.bootstrapped.set(true);
         let view = self.membership.borrow().view();
         let (near, peers) = self.peers_to_meet(&view);
--- a/src/fleet/peers/rpc.rs
+++ b/src/fleet/peers/rpc.rs
@@ -48,7 +48,7 @@
 
 impl PeerCalls for PeerServer {
     async fn exchange(self, _: tarpc::context::Context, digests: Vec<u64>) -> Vec<MemberRecord> {
-        let records = self.duty.membership.borrow().differing(&digests);
+        let records = self.duty.membership.borrow().differing_records(&digests);
         self.duty.metrics.sync_records.inc_by(records.len() as u64);
         records
     }
@@ -58,7 +58,7 @@
     }
 
     async fn learn(self, _: tarpc::context::Context, records: Vec<MemberRecord>) {
-        self.duty.step(MembershipEvent::Learn(records));
+        self.duty.step(MembershipEvent::RecordsReceived(records));
     }
 
     async fn revision(
--- a/src/fleet/peers/suspects.rs
+++ b/src/fleet/peers/suspects.rs
@@ -51,7 +51,7 @@
                 self.keep_blame(*notice);
             }
         }
-        self.step(MembershipEvent::Suspect { notices, first_hand });
+        self.step(MembershipEvent::SuspectRequests { notices, first_hand });
     }
 
     /// Lets a request through again; `false` if nothing was known of it.
--- a/src/fleet/follow.rs
+++ b/src/fleet/store_followers.rs
@@ -14,7 +14,7 @@
 ///
 /// So many that a loss of three in five daemons at once leaves at least one of
 /// them in 99 of 100 cases, until the others notice.
-pub const FOLLOWERS: usize = 10;
+pub const MAX_STORE_FOLLOWERS: usize = 10;
 
 /// Growth of what a daemon knows of the fleet that shows that it does not know most of it
 /// yet, as a part of what it knows.
@@ -68,7 +68,7 @@
 /// fewer rows of others there than are wanted, or its own.
 fn is_founder(rows: &[MemberRecord], own: &MemberRecord) -> bool {
     let same = |row: &MemberRecord| row.host == own.host && row.peer == own.peer;
-    rows.len() < FOLLOWERS || rows.iter().any(same)
+    rows.len() < MAX_STORE_FOLLOWERS || rows.iter().any(same)
 }
 
 /// Tells whether a daemon is one of those that follow the store.
@@ -84,7 +84,7 @@
     let Some(me) = candidates.iter().find(|member| member.host == *own) else { return false };
     let mine = order(&me.host);
     let before = candidates.iter().filter(|member| order(&member.host) < mine).count();
-    before < FOLLOWERS
+    before < MAX_STORE_FOLLOWERS
 }
 
 fn is_sound(member: &MemberRecord) -> bool {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -90,8 +90,8 @@
     default_policy, policy, policy_names,
 };
 pub use duty::target_report::{TargetAnnouncement, TargetReport};
-pub use fleet::follow::{FOLLOWERS, FollowerRole, follows_store};
 pub use fleet::membership::{MembershipAction, MembershipEvent, MembershipState};
+pub use fleet::store_followers::{FollowerRole, MAX_STORE_FOLLOWERS, follows_store};
 pub use platform::{ConfigurationError, adapter, open_store};
 pub use process::adapter::{
     ControlReply, ControlRequest, DeploymentAdapter, DeploymentTerms, ReadTerms,
@@ -106,6 +106,6 @@
 pub use rules::terms::{CallTerms, HedgeRule, KindTerms};
 pub use store::publish::{HEAD_KEY, PublishError, body_name, publish, read_head};
 pub use store::table::{
-    CommitReply, ConfigUpdate, ObjectWrite, OperatorConfig, PlatformClient, PlatformError,
-    StoreCall, StoreCalls, StoreFuture, TableRow, TableWrite,
+    CommitReply, ConfigUpdate, OperatorConfig, PlatformClient, PlatformError, PutObjectOperation,
+    StoreFuture, StoreOperation, StoreOperations, TableRow, TableWrite,
 };
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -18,7 +18,7 @@
 use crate::call::guard::{self, GuardParts, GuardRings};
 use crate::call::headers::OWN_NAMES;
 use crate::decide::probe::ProbeBudget;
-use crate::durable::{self, ConfigSource, DurableParts, PlatformRings};
+use crate::durable::{self, ConfigSource, PlatformParts, PlatformRings};
 use crate::duty::events::{AdminEvent, EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::readiness::DaemonReadiness;
 use crate::duty::ring::{RingInbox, RingSender};
@@ -181,7 +181,7 @@
 
     let source = if deployed.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
-    let parts = DurableParts { client, own, seed: seed.wrapping_add(2), source, first_start };
+    let parts = PlatformParts { client, own, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
     bodies
--- a/src/store/blame.rs
+++ b/src/store/blame.rs
@@ -15,7 +15,7 @@
 /// Makes the write that keeps a blamed request, or removes one that is not.
 pub(crate) fn write(notice: SuspectNotice) -> TableWrite {
     let value = notice.record.is_blamed().then(|| serde_json::to_string(&notice).ok()).flatten();
-    TableWrite { key: format!("{BLAME_PREFIX}{}", notice.digest), expect: None, value }
+    TableWrite { key: format!("{BLAME_PREFIX}{}", notice.digest), expected_version: None, value }
 }
 
 /// Reads the rows that are of blamed requests; tells of those that can't be read.
--- a/src/store/claim.rs
+++ b/src/store/claim.rs
@@ -13,7 +13,7 @@
     /// The row.
     pub(crate) row: ClaimRow,
     /// Version to take over, zero for a new row.
-    pub(crate) expect: u64,
+    pub(crate) expected_version: u64,
     /// Where the answer goes.
     pub(crate) reply: oneshot::Sender<ClaimReply>,
 }
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 pub(crate) enum ClaimReply {
     /// The claim is held at this version.
-    Held(u64),
+    Acquired(u64),
     /// Another call holds it.
-    Found { row: Box<ClaimRow>, version: u64 },
+    HeldByOther { row: Box<ClaimRow>, version: u64 },
     /// The platform did not take it, as far as can be told.
     Failed,
 }
@@ -52,7 +52,7 @@
         match self {
             Self::Claim(request) => TableWrite {
                 key: request.key.clone(),
-                expect: Some(request.expect),
+                expected_version: Some(request.expected_version),
                 value: serde_json::to_string(&request.row).ok(),
             },
             Self::Outcome(write) => write.clone(),
@@ -75,7 +75,7 @@
     pub(crate) fn found(self, row: &TableRow) {
         let Self::Claim(request) = self else { return };
         let reply = match parse_claim(row) {
-            Some(found) => ClaimReply::Found { row: Box::new(found), version: row.version },
+            Some(found) => ClaimReply::HeldByOther { row: Box::new(found), version: row.version },
             None => ClaimReply::Failed,
         };
         drop(request.reply.send(reply));
--- a/src/store/publish.rs
+++ b/src/store/publish.rs
@@ -36,7 +36,7 @@
     #[snafu(display(
         "unknown whether revision {revision} was published; look with `railspan status`"
     ))]
-    Unsettled {
+    OutcomeUnknown {
         /// The revision tried.
         revision: u64,
     },
@@ -77,7 +77,7 @@
 ) -> Result<RevisionHead, PublishError> {
     let not_published = |source| PublishError::NotPublished { source };
     let body = serde_json::to_vec(config)
-        .map_err(|error| not_published(PlatformError::Bad { reason: error.to_string() }))?;
+        .map_err(|error| not_published(PlatformError::InvalidData { reason: error.to_string() }))?;
     let hash = blake3::hash(&body).to_hex().to_string();
     let present = read_head(client).await.map_err(not_published)?;
     let (revision, version) = match &present {
@@ -106,16 +106,16 @@
 ) -> Result<RevisionHead, PublishError> {
     let write = TableWrite {
         key: HEAD_KEY.to_owned(),
-        expect: Some(version),
+        expected_version: Some(version),
         value: serde_json::to_string(&head).ok(),
     };
     match client.commit(&[write]).await {
         Ok(reply) if reply.committed => Ok(head),
         Ok(reply) => match reply.conflicts.first().map(parse_head) {
             Some(Ok((winner, _))) => Err(PublishError::Conflict { winner }),
-            _ => Err(PublishError::Unsettled { revision: head.revision }),
+            _ => Err(PublishError::OutcomeUnknown { revision: head.revision }),
         },
-        Err(PlatformError::Lost { .. }) => settle(client, head).await,
+        Err(PlatformError::ReplyLost { .. }) => settle(client, head).await,
         Err(source) => Err(PublishError::NotPublished { source }),
     }
 }
@@ -133,11 +133,11 @@
             Ok(_) | Err(_) => {}
         }
     }
-    Err(PublishError::Unsettled { revision: head.revision })
+    Err(PublishError::OutcomeUnknown { revision: head.revision })
 }
 
 fn parse_head(row: &TableRow) -> Result<(RevisionHead, u64), PlatformError> {
     let head = serde_json::from_str(&row.value);
-    let head = head.map_err(|error| PlatformError::Bad { reason: error.to_string() })?;
+    let head = head.map_err(|error| PlatformError::InvalidData { reason: error.to_string() })?;
     Ok((head, row.version))
 }
--- a/src/store/table.rs
+++ b/src/store/table.rs
@@ -18,19 +18,19 @@
 pub enum PlatformError {
     /// It refused or can't be reached: nothing was applied.
     #[snafu(display("the platform is down: {reason}"))]
-    Down {
+    Unavailable {
         /// What was seen.
         reason: String,
     },
     /// It was asked, but its answer is lost: it may have been applied.
     #[snafu(display("the platform's answer is lost: {reason}"))]
-    Lost {
+    ReplyLost {
         /// What was seen.
         reason: String,
     },
     /// It answered what can't be read.
     #[snafu(display("the platform answered badly: {reason}"))]
-    Bad {
+    InvalidData {
         /// What was seen.
         reason: String,
     },
@@ -53,7 +53,8 @@
     /// The row's key.
     pub key: String,
     /// The version it must have: zero for no row, nothing for any.
-    pub expect: Option<u64>,
+    #[serde(rename = "expect")]
+    pub expected_version: Option<u64>,
     /// The new value, or nothing to delete the row.
     pub value: Option<String>,
 }
@@ -91,7 +92,7 @@
     /// The newest configuration, if one was told.
     pub config: Option<OperatorConfig>,
     /// Why a configuration that was told can't be used; the one in force stays.
-    pub fault: Option<String>,
+    pub config_error: Option<String>,
     /// What was told of evacuations, and the store's version at that moment.
     pub evacuations: Option<(u64, EvacuationUpdate)>,
 }
@@ -99,8 +100,8 @@
 impl ConfigUpdate {
     /// Returns an update that says nothing but from where to go on.
     #[must_use]
-    pub const fn nothing(cursor: u64) -> Self {
-        Self { cursor, config: None, fault: None, evacuations: None }
+    pub const fn empty(cursor: u64) -> Self {
+        Self { cursor, config: None, config_error: None, evacuations: None }
     }
 }
 
@@ -108,43 +109,43 @@
 pub type StoreFuture<T> = BoxFuture<'static, Result<T, PlatformError>>;
 
 /// A call to the platform with one argument.
-pub type StoreCall<A, T> = Box<dyn Fn(A) -> StoreFuture<T> + Send + Sync>;
+pub type StoreOperation<A, T> = Box<dyn Fn(A) -> StoreFuture<T> + Send + Sync>;
 
 /// A call that writes an object under a name.
-pub type ObjectWrite = Box<dyn Fn(String, Bytes) -> StoreFuture<()> + Send + Sync>;
+pub type PutObjectOperation = Box<dyn Fn(String, Bytes) -> StoreFuture<()> + Send + Sync>;
 
 /// The calls that an adapter brings.
-pub struct StoreCalls {
+pub struct StoreOperations {
     /// Applies all writes, or none.
-    pub commit: StoreCall<Vec<TableWrite>, CommitReply>,
+    pub commit: StoreOperation<Vec<TableWrite>, CommitReply>,
     /// Reads one row by its key.
-    pub row: StoreCall<String, Option<TableRow>>,
+    pub row: StoreOperation<String, Option<TableRow>>,
     /// Reads all rows whose key starts with a prefix.
-    pub rows: StoreCall<String, Vec<TableRow>>,
+    pub rows: StoreOperation<String, Vec<TableRow>>,
     /// Reads an object by its name.
-    pub object: StoreCall<String, Option<Bytes>>,
+    pub object: StoreOperation<String, Option<Bytes>>,
     /// Writes an object whole.
-    pub put_object: ObjectWrite,
+    pub put_object: PutObjectOperation,
     /// Waits for an operator's configuration newer than a cursor.
-    pub next_config: StoreCall<u64, ConfigUpdate>,
+    pub next_config: StoreOperation<u64, ConfigUpdate>,
 }
 
-impl fmt::Debug for StoreCalls {
+impl fmt::Debug for StoreOperations {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("StoreCalls").finish_non_exhaustive()
+        f.debug_struct("StoreOperations").finish_non_exhaustive()
     }
 }
 
 /// The one client of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
-    calls: Arc<StoreCalls>,
+    calls: Arc<StoreOperations>,
 }
 
 impl PlatformClient {
     /// Makes a client of an adapter's calls.
     #[must_use]
-    pub fn new(calls: StoreCalls) -> Self {
+    pub fn new(calls: StoreOperations) -> Self {
         Self { calls: Arc::new(calls) }
     }
 
--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -116,7 +116,7 @@
         let known: Vec<MemberRecord> = self.nodes.values().map(|node| node.own().clone()).collect();
         self.nodes.insert(address(index), MembershipState::open(record(index, incarnation)));
         self.seen.remove(&address(index));
-        self.step(address(index), MembershipEvent::Learn(known));
+        self.step(address(index), MembershipEvent::RecordsReceived(known));
     }
 
     pub fn step(&mut self, at: SocketAddr, event: MembershipEvent) {
@@ -133,7 +133,7 @@
                     self.send(at, to, &MembershipEvent::Message { from: at, message });
                 }
                 MembershipAction::Sync { peer } if !self.separated(at, peer) => self.sync(at, peer),
-                MembershipAction::NewerRevision { peer } => self.fetch(at, peer),
+                MembershipAction::FetchRevision { peer } => self.fetch(at, peer),
                 _ => {}
             }
         }
@@ -159,7 +159,7 @@
         self.fetching.insert(at, revision);
         self.count(peer, at, FETCH_BYTES);
         self.sent += 1;
-        let event = MembershipEvent::Local { targets, revision };
+        let event = MembershipEvent::OwnChanged { targets, revision };
         self.flying.insert((self.now_ms + FETCH_MS, self.sent), (peer, at, event));
     }
 
@@ -179,13 +179,13 @@
 
     pub fn sync(&mut self, at: SocketAddr, peer: SocketAddr) {
         let (Some(one), Some(other)) = (self.nodes.get(&at), self.nodes.get(&peer)) else { return };
-        let to_one = other.differing(&one.bucket_digests());
-        let to_other = one.differing(&other.bucket_digests());
+        let to_one = other.differing_records(&one.bucket_digests());
+        let to_other = one.differing_records(&other.bucket_digests());
         let records = to_one.iter().chain(&to_other);
         let bytes: usize = records.map(|record| encode(record).expect("encodes").len()).sum();
         self.count(at, peer, bytes as u64 + EXCHANGE_HEAD);
-        self.step(at, MembershipEvent::Learn(to_one));
-        self.step(peer, MembershipEvent::Learn(to_other));
+        self.step(at, MembershipEvent::RecordsReceived(to_one));
+        self.step(peer, MembershipEvent::RecordsReceived(to_other));
     }
 
     /// From now on every datagram arrives once and soon.
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,7 +1,9 @@
 //! Who follows the platform's store, however large the fleet is.
 
 use proptest::prelude::*;
-use railspan::{DaemonIncarnation, FOLLOWERS, HostName, MemberRecord, MemberState, follows_store};
+use railspan::{
+    DaemonIncarnation, HostName, MAX_STORE_FOLLOWERS, MemberRecord, MemberState, follows_store,
+};
 
 fn member(number: usize, state: MemberState, store_lost: bool) -> MemberRecord {
     let address = "127.0.0.1:1".parse().expect("address");
@@ -52,10 +54,10 @@
         let chosen = followers(&fleet);
         prop_assert!(chosen.iter().all(|member| member.state == MemberState::Alive));
         if reaching > 0 {
-            prop_assert_eq!(chosen.len(), reaching.min(FOLLOWERS));
+            prop_assert_eq!(chosen.len(), reaching.min(MAX_STORE_FOLLOWERS));
             prop_assert!(chosen.iter().all(|member| !member.store_lost));
         } else {
-            prop_assert_eq!(chosen.len(), sound.min(FOLLOWERS));
+            prop_assert_eq!(chosen.len(), sound.min(MAX_STORE_FOLLOWERS));
         }
     }
 
@@ -71,6 +73,6 @@
             followers(&fleet).into_iter().map(|member| member.host.clone()).collect();
         let gone = before.iter().filter(|host| !after.contains(host)).count();
         prop_assert_eq!(gone, usize::from(before.contains(&fleet[lost].host)));
-        prop_assert_eq!(after.len(), FOLLOWERS);
+        prop_assert_eq!(after.len(), MAX_STORE_FOLLOWERS);
     }
 }
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -9,7 +9,7 @@
 
 use fake_network::{FakeNetwork, address, record};
 use railspan::{
-    FOLLOWERS, FollowerRole, MemberRecord, MemberState, MembershipEvent, MembershipState,
+    FollowerRole, MAX_STORE_FOLLOWERS, MemberRecord, MemberState, MembershipEvent, MembershipState,
     MicroTime, ServiceName, TargetNotice,
 };
 use rand::RngExt;
@@ -106,7 +106,7 @@
         let (near, far): (Vec<&MemberRecord>, Vec<&MemberRecord>) = rows.iter().partition(is_near);
         let peers = if near.is_empty() { far } else { near };
         let peers: Vec<SocketAddr> = peers.iter().map(|row| row.peer).collect();
-        self.network.step(address(index), MembershipEvent::Learn(rows));
+        self.network.step(address(index), MembershipEvent::RecordsReceived(rows));
         for _ in 0..MET {
             let peer = peers[self.network.rng.random_range(0..peers.len())];
             if peer != address(index) {
@@ -118,7 +118,7 @@
     fn tell_target(&mut self, index: usize, ready: bool) {
         let targets = notice(index, ready);
         let revision = 1;
-        self.network.step(address(index), MembershipEvent::Local { targets, revision });
+        self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
     }
 
     fn pass(&mut self, ms: u64) {
@@ -148,7 +148,7 @@
         let (from, crossing) = (self.network.now_ms, self.network.crossing);
         for &index in followers {
             let targets = notice(index, true);
-            self.network.step(address(index), MembershipEvent::Local { targets, revision });
+            self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own().revision == revision;
         let known_ms = self.until(from, |fleet| fleet.network.nodes.values().all(in_force));
@@ -277,7 +277,7 @@
         (0..fleet.size).filter(follows).collect()
     };
     let lost = following(&fleet);
-    assert!((FOLLOWERS..FOLLOWERS + 5).contains(&lost.len()), "{lost:?}");
+    assert!((MAX_STORE_FOLLOWERS..MAX_STORE_FOLLOWERS + 5).contains(&lost.len()), "{lost:?}");
     let from = fleet.network.now_ms;
     for &index in &lost {
         fleet.network.nodes.remove(&address(index));
@@ -319,7 +319,7 @@
         }
     }
     let followed = followed.into_iter().filter(|follows| *follows).count();
-    assert!(followed <= 4 * FOLLOWERS, "{followed} of {size} followed the store");
+    assert!(followed <= 4 * MAX_STORE_FOLLOWERS, "{followed} of {size} followed the store");
 }
 
 /// What a change costs between data centres does not grow with the daemons in them: each
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -55,9 +55,9 @@
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
         let notice = |ready| vec![TargetNotice { service: "s".into(), name: "t".into(), slots: 4, ready }];
-        network.step(address(0), MembershipEvent::Local { targets: notice(true), revision: 1 });
+        network.step(address(0), MembershipEvent::OwnChanged { targets: notice(true), revision: 1 });
         network.run(10_000)?;
-        network.step(address(0), MembershipEvent::Local { targets: notice(false), revision: 1 });
+        network.step(address(0), MembershipEvent::OwnChanged { targets: notice(false), revision: 1 });
         network.run(10_000)?;
         for node in network.nodes.values() {
             let view = node.view();
@@ -92,7 +92,12 @@
     let mut believed = record(0, 1);
     believed.version = 4;
     believed.state = MemberState::Suspect;
-    state.step(MicroTime(0), MembershipEvent::Learn(vec![believed.clone()]), &mut rng, &mut out);
+    state.step(
+        MicroTime(0),
+        MembershipEvent::RecordsReceived(vec![believed.clone()]),
+        &mut rng,
+        &mut out,
+    );
     assert_eq!(state.own().version, 5);
     let ping = |number| MembershipEvent::Message {
         from: address(1),
@@ -113,7 +118,7 @@
     }
     assert_eq!(state.updates_left(), 0);
     believed.state = MemberState::Dead;
-    state.step(MicroTime(0), MembershipEvent::Learn(vec![believed]), &mut rng, &mut out);
+    state.step(MicroTime(0), MembershipEvent::RecordsReceived(vec![believed]), &mut rng, &mut out);
     out.clear();
     state.step(MicroTime(0), ping(99), &mut rng, &mut out);
     let MembershipAction::Send { message, .. } = &out[0] else { panic!("{out:?}") };
--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -41,7 +41,7 @@
     let all: Vec<MemberRecord> = (0..DAEMONS).map(own_record).collect();
     for own in &all {
         network.nodes.insert(own.peer, MembershipState::open(own.clone()));
-        network.step(own.peer, MembershipEvent::Learn(all.clone()));
+        network.step(own.peer, MembershipEvent::RecordsReceived(all.clone()));
     }
     network.run(SETTLE_MS).expect("nothing is checked");
     network
@@ -119,7 +119,7 @@
             }
         }
         for (at, host) in unreached.into_iter().filter(|_| tells) {
-            network.step(at, MembershipEvent::Unreached(host));
+            network.step(at, MembershipEvent::MemberUnreachable(host));
         }
     }
     (to_lost, calls)
--- a/tests/suspects_at_size.rs
+++ b/tests/suspects_at_size.rs
@@ -61,7 +61,7 @@
     fn join_all(&mut self) {
         let all: Vec<_> = (0..self.size).map(own).collect();
         for index in 0..self.size {
-            self.network.step(address(index), MembershipEvent::Learn(all.clone()));
+            self.network.step(address(index), MembershipEvent::RecordsReceived(all.clone()));
         }
     }
 
@@ -97,7 +97,7 @@
                     self.kept = Some(notice);
                 }
                 let notices = vec![notice];
-                let event = MembershipEvent::Suspect { notices, first_hand: true };
+                let event = MembershipEvent::SuspectRequests { notices, first_hand: true };
                 self.network.step(address(index), event);
             }
         }
@@ -125,7 +125,8 @@
         self.join_all();
         if let Some(notice) = self.kept {
             for index in 0..self.size {
-                let event = MembershipEvent::Suspect { notices: vec![notice], first_hand: false };
+                let event =
+                    MembershipEvent::SuspectRequests { notices: vec![notice], first_hand: false };
                 self.network.step(address(index), event);
             }
         }
@@ -199,7 +200,7 @@
     play.send_for(6_000, 300, 0..69);
     let record = play.standing(0).after_clearance();
     let notices = vec![SuspectNotice { digest: DEADLY, record }];
-    play.network.step(address(0), MembershipEvent::Suspect { notices, first_hand: true });
+    play.network.step(address(0), MembershipEvent::SuspectRequests { notices, first_hand: true });
     play.pass(5_000);
     let held = (0..69).filter(|index| play.standing(*index).is_suspected()).count();
     assert_eq!(held, 0, "daemons that still hold it back");
