--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,16 +1,13 @@
-//! State machine of the gossip protocol: which daemons are in the fleet, and what targets
-//! they have. It does no I/O and reads no clock.
+//! Gossip state machine, without I/O or clock: which daemons and targets the fleet has.
 //!
 //! The protocol is SWIM: in each period a daemon probes one other daemon, asks three more to
 //! probe it when no answer arrives, and piggybacks updates on the messages that it sends
 //! anyway, so that the cost per daemon does not grow with the fleet. Dead members are
-//! remembered and probed now and then, so that regions find each other again after a
-//! network partition.
+//! remembered and probed now and then, so that partitioned regions find each other again.
 //!
-//! This module keeps the member records and merges new ones. `probing` detects failed
-//! members, in the order of `probe_order`; `receive` handles datagrams; `dissemination` sends
-//! updates, which `update_queue` selects; `suspect_requests` spreads which requests are
-//! suspected of crashing targets.
+//! This module merges member records. `probing` detects failed members, in the order of
+//! `probe_order`; `receive` handles datagrams; `dissemination` sends the updates that
+//! `update_queue` selects; `suspect_requests` spreads which requests may crash targets.
 //!
 //! Figures at constants were measured with the state machines of 295 daemons in five data
 //! centres, in virtual time, with a twentieth of the datagrams lost.
@@ -42,16 +39,13 @@
 use suspect_requests::SuspectUpdates;
 use update_queue::UpdateQueue;
 
-/// Time after a member is declared dead in which its data centre is probed more often.
-///
-/// It is enough for the ten daemons of one data centre to probe the ten of another twice.
+/// Time after a member is declared dead in which its data centre is probed more often: ten
+/// daemons of one data centre can probe the ten of another twice.
 const RECENT_DEATH_WINDOW: MicroTime = MicroTime::from_millis(10_000);
 
-/// The record of another daemon.
 #[derive(Clone, Debug)]
 struct KnownMember {
     record: MemberRecord,
-    /// When this record was learnt.
     updated_at: MicroTime,
 }
 
@@ -78,7 +72,6 @@
     members: BTreeMap<HostName, KnownMember>,
     /// Number of members in the own data centre that may serve.
     local_others: usize,
-    /// Updates that are still to be sent.
     updates: UpdateQueue,
     probe_order: ProbeOrder,
     /// The probe of this period, until it is answered.
@@ -89,7 +82,6 @@
     proxies: Vec<ProxyProbe>,
     /// Number of the last message that this daemon sent.
     last_number: u64,
-    /// Number of the gossip period.
     period: u64,
     next_period: MicroTime,
     next_sync: MicroTime,
@@ -102,7 +94,6 @@
     digest: u64,
     /// The newest evacuation notice; every message carries it.
     evacuation: EvacuationNotice,
-    /// Requests that are suspected of crashing targets.
     suspect_updates: SuspectUpdates,
     /// Set when another record of the own host was refuted, until notices of it are sent.
     refutation_due: bool,
@@ -172,10 +163,7 @@
     fn assert_invariants(&self) {
         let is_valid = matches!(self.own.state, MemberState::Alive | MemberState::Left);
         debug_assert!(is_valid, "own record is neither alive nor left: {:?}", self.own.state);
-        debug_assert!(
-            !self.members.contains_key(&self.own.host),
-            "own host is among the other members"
-        );
+        debug_assert!(!self.members.contains_key(&self.own.host), "own host is among members");
         debug_assert!(self.members.len() >= self.local_others, "more local members than members");
     }
 
@@ -261,38 +249,30 @@
             let host = record.host.clone();
             let known = host == self.own.host || self.members.contains_key(&host);
             let up = record.is_up();
-            self.apply_record(now, record, out);
+            self.apply(now, record, out);
             if !known {
                 self.updates.remove(&host);
                 new_hosts.extend(up.then_some(host));
             }
         }
-        // The sender of the records knows all the others, too, and it got those that it
-        // was missing in the same exchange.
+        // The sender knows all other records, too, or got them in the same exchange.
         self.updates.record_full_receipt();
         new_hosts.shuffle(rng);
         self.announce_own_record(&new_hosts, out);
     }
 
     /// Applies a record: merges it, or refutes it if it is of the own host.
-    fn apply_record(
-        &mut self,
-        now: MicroTime,
-        record: MemberRecord,
-        out: &mut Vec<MembershipAction>,
-    ) {
+    fn apply(&mut self, now: MicroTime, record: MemberRecord, out: &mut Vec<MembershipAction>) {
         if record.host == self.own.host {
             self.refute_record(&record, out);
         } else {
-            self.merge_record(now, record, out);
+            self.merge(now, record, out);
         }
     }
 
-    /// Refutes a wrong record of the own host: raises the own version above that of the
-    /// record.
+    /// Refutes a wrong record of the own host by raising the own version above it.
     ///
-    /// Such a record was made by a daemon that suspects this one, or is left over from an
-    /// earlier incarnation.
+    /// Such a record comes from a daemon that suspects this one, or from an earlier incarnation.
     fn refute_record(&mut self, record: &MemberRecord, out: &mut Vec<MembershipAction>) {
         let stale = record.incarnation != self.own.incarnation || record.state != self.own.state;
         if !stale || self.own.state == MemberState::Left {
@@ -309,7 +289,6 @@
         self.refutation_due = true;
     }
 
-    /// Takes over the targets of this host and its revision.
     fn set_own_targets(
         &mut self,
         targets: Vec<TargetNotice>,
@@ -348,7 +327,6 @@
         }
     }
 
-    /// Sets whether this daemon has lost contact with the store.
     fn set_store_lost(&mut self, lost: bool, rng: &mut Pcg64Mcg, out: &mut Vec<MembershipAction>) {
         if self.own.store_lost == lost {
             return;
@@ -361,7 +339,6 @@
         self.notify_of_own_change(rng, out);
     }
 
-    /// Changes the own record and queues it for sending.
     fn update_own(&mut self, change: impl FnOnce(&mut MemberRecord)) {
         self.digest ^= self.own.digest();
         change(&mut self.own);
@@ -369,7 +346,6 @@
         self.updates.enqueue(&self.own.host);
     }
 
-    /// Marks the own record as left and sends notices of it.
     fn leave(&mut self, rng: &mut Pcg64Mcg, out: &mut Vec<MembershipAction>) {
         self.update_own(|own| {
             own.state = MemberState::Left;
@@ -383,12 +359,7 @@
     }
 
     /// Replaces another daemon's record if the given one is newer.
-    fn merge_record(
-        &mut self,
-        now: MicroTime,
-        record: MemberRecord,
-        out: &mut Vec<MembershipAction>,
-    ) {
+    fn merge(&mut self, now: MicroTime, record: MemberRecord, out: &mut Vec<MembershipAction>) {
         let known = self.members.get(&record.host);
         if known.is_some_and(|known| !record.beats(&known.record)) {
             if known.is_some_and(|known| !known.record.beats(&record)) {
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -157,7 +157,7 @@
         }
         let mut record = known.record.clone();
         record.state = MemberState::Suspect;
-        self.merge_record(now, record, out);
+        self.merge(now, record, out);
     }
 
     /// Declares members dead that were suspected for too long, and removes members that have
@@ -177,7 +177,7 @@
         }
         for mut record in expired {
             record.state = MemberState::Dead;
-            self.merge_record(now, record, out);
+            self.merge(now, record, out);
         }
         for host in stale {
             if let Some(known) = self.members.remove(&host) {
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -39,7 +39,7 @@
             {
                 relayed.push(record.clone());
             }
-            self.apply_record(now, record, out);
+            self.apply(now, record, out);
         }
         if !relayed.is_empty() {
             let peers = self.sample_up(RELAY_FANOUT, &sender, rng);
