--- a/src/durable/commits.rs
+++ b/src/durable/commits.rs
@@ -8,7 +8,7 @@
 use crate::store::claim::{ClaimReply, ClaimRequest, PendingWrite, parse_claim};
 use crate::store::table::{CommitReply, PlatformError, TableWrite};
 
-/// Writes that are queued at most while the table is down; further ones are dropped.
+/// Maximum number of queued writes, for an outage of the table; further writes are dropped.
 const MAX_PENDING_WRITES: usize = 10_000;
 
 impl PlatformDuty {
@@ -54,8 +54,8 @@
         let mut batch: Vec<PendingWrite> = Vec::new();
         let mut deferred = VecDeque::new();
         while let Some(pending) = queue.pop_front() {
-            // While the table is down, only one write at a time tests whether it is back;
-            // other claims are rejected.
+            // While the table is down, a batch has at most one claim, to test whether it is
+            // back; other claims are rejected.
             let reject_claims = down && !batch.is_empty();
             let Some(pending) = pending.unless_obsolete(reject_claims) else { continue };
             let same_row = batch.iter().chain(&deferred).any(|other| other.key() == pending.key());
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -51,6 +51,7 @@
     Operator,
 }
 
+/// The state that the tasks of this thread share.
 struct PlatformDuty {
     client: PlatformClient,
     revisions: RefCell<RevisionState>,
@@ -58,9 +59,11 @@
     evacuation: RefCell<EvacuationNotice>,
     /// Writes that wait for a transaction.
     pending: RefCell<VecDeque<PendingWrite>>,
+    /// Notified when a write is queued.
     pending_wake: Notify,
     pace: RefCell<CommitPace>,
     clock: ProcessClock,
+    /// Notified to read the configuration at once.
     poll_wake: Notify,
     /// Whether this daemon is one of those that follow the store for the fleet.
     following: watch::Sender<bool>,
@@ -152,6 +155,7 @@
         self.metrics.platform.with_label_values(&[&format!("{kind}_{result}")]).inc();
     }
 
+    /// Returns the state for the admin page.
     fn dump(&self) -> Value {
         let revisions = self.revisions.borrow();
         json!({
--- a/src/durable/revisions.rs
+++ b/src/durable/revisions.rs
@@ -114,7 +114,7 @@
         let body = match serde_json::to_vec(&operator.config) {
             Ok(body) => body,
             Err(error) => {
-                warn!(self.logger, "revision rejected"; "revision" => operator.revision, "why" => %error);
+                warn!(self.logger, "cannot encode configuration"; "revision" => operator.revision, "why" => %error);
                 return;
             }
         };
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -224,7 +224,7 @@
         first: Option<MemberRecord>,
     ) -> GossipMessage {
         let mut updates = Vec::from_iter(first);
-        let suspects = self.suspect_updates.fill(self.members.len() + 1);
+        let suspects = self.suspect_updates.next_notices(self.members.len() + 1);
         let reserved_bytes = self.evacuation.names_size() + suspects.len() * NOTICE_BYTES;
         let (fleet_size, local_size) = (self.members.len() + 1, self.local_size());
         let budget = MessageBudget { fleet_size, local_size, reserved_bytes, is_remote };
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -256,7 +256,7 @@
             }
         }
         // The sender knows all other records, too, or got them in the same exchange.
-        self.updates.record_full_receipt();
+        self.updates.count_full_receipt();
         new_hosts.shuffle(rng);
         self.announce_own_record(&new_hosts, out);
     }
@@ -363,7 +363,7 @@
         let known = self.members.get(&record.host);
         if known.is_some_and(|known| !record.beats(&known.record)) {
             if known.is_some_and(|known| !known.record.beats(&record)) {
-                self.updates.record_receipt(&record.host);
+                self.updates.count_receipt(&record.host);
             }
             return;
         }
--- a/src/fleet/membership/suspect_requests.rs
+++ b/src/fleet/membership/suspect_requests.rs
@@ -78,8 +78,9 @@
         effect == NoticeEffect::New
     }
 
-    /// Returns the notices to piggyback on a message, those with the most crashes first.
-    pub(super) fn fill(&mut self, fleet: usize) -> Vec<SuspectNotice> {
+    /// Returns the notices to piggyback on a message, those with the most crashes first, and
+    /// counts them as sent.
+    pub(super) fn next_notices(&mut self, fleet: usize) -> Vec<SuspectNotice> {
         let limit = spread_limit(fleet);
         let book = &self.book;
         self.send_counts.retain(|digest, sent| {
--- a/src/fleet/membership/update_queue.rs
+++ b/src/fleet/membership/update_queue.rs
@@ -76,14 +76,15 @@
     }
 
     /// Counts a record that another daemon sent and that was already known.
-    pub(super) fn record_receipt(&mut self, host: &HostName) {
+    pub(super) fn count_receipt(&mut self, host: &HostName) {
         if let Some(sent) = self.send_counts.get_mut(host) {
             sent.local += SENDS_PER_RECEIPT;
         }
     }
 
-    /// Counts all records except the own as received, after a full exchange.
-    pub(super) fn record_full_receipt(&mut self) {
+    /// Counts all records as received after a full exchange, except the own, which the other
+    /// daemon may not have.
+    pub(super) fn count_full_receipt(&mut self) {
         for (host, sent) in &mut self.send_counts {
             if *host != self.own {
                 sent.local += SENDS_PER_RECEIPT;
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -150,7 +150,7 @@
                 if reached {
                     self.follower_role
                         .borrow_mut()
-                        .read_rows(&members, self.membership.borrow().own());
+                        .init_from_rows(&members, self.membership.borrow().own());
                 }
                 spawn_local(Rc::clone(self).join(members, reached));
             }
@@ -165,7 +165,7 @@
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Evacuation(notice) => self.step(MembershipEvent::Evacuation(notice)),
-            PeersEvent::Suspects { notices, source } => self.record_suspects(notices, source),
+            PeersEvent::Suspects { notices, source } => self.apply_suspects(notices, source),
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
             // A daemon that receives no messages is itself cut off, so the report is no sign of
             // a failed host.
--- a/src/fleet/peers/suspects.rs
+++ b/src/fleet/peers/suspects.rs
@@ -43,7 +43,7 @@
 
 impl PeersDuty {
     /// Merges notices from this host's guard or from the store; stores the former.
-    pub(super) fn record_suspects(
+    pub(super) fn apply_suspects(
         self: &Rc<Self>,
         notices: Vec<SuspectNotice>,
         source: SuspectSource,
@@ -65,7 +65,7 @@
         }
         info!(self.logger, "request cleared by operator"; "digest" => %digest, "crashes" => record.crashes);
         let notice = SuspectNotice { digest, record: record.after_clearance() };
-        self.record_suspects(vec![notice], SuspectSource::Guard);
+        self.apply_suspects(vec![notice], SuspectSource::Guard);
         true
     }
 
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -15,8 +15,8 @@
 
 /// Maximum number of daemons that follow the store.
 ///
-/// When three in five daemons fail at once, at least one of ten followers survives in 99 of
-/// 100 cases; it bridges the time until the failures are detected.
+/// When three in five daemons fail at once, at least one of ten followers remains in 99 of
+/// 100 cases to follow the store until the failures are detected.
 pub const MAX_STORE_FOLLOWERS: usize = 10;
 
 /// Growth of the number of known daemons, as a fraction, that shows that a daemon does not
@@ -46,8 +46,8 @@
 }
 
 impl FollowerRole {
-    /// Sets the member rows that the store had when the daemon started.
-    pub fn read_rows(&mut self, rows: &[MemberRecord], own: &MemberRecord) {
+    /// Initialises the role from the member rows that the store had when the daemon started.
+    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own: &MemberRecord) {
         self.is_bootstrap_follower = follows_at_bootstrap(rows, own);
     }
 
--- a/src/store/publish.rs
+++ b/src/store/publish.rs
@@ -13,8 +13,8 @@
 /// Key of the row that names the newest revision.
 pub const HEAD_KEY: &str = "config-head";
 
-/// Attempts to read back the head row after the reply to a write was lost.
-const READ_BACK_TRIES: u32 = 5;
+/// Number of attempts to read back the head row after the reply to a write was lost.
+const READ_BACK_ATTEMPTS: u32 = 5;
 
 /// Why a revision was not published.
 #[derive(Debug, Snafu)]
@@ -70,8 +70,9 @@
 ///
 /// # Errors
 ///
-/// Returns `Conflict` with the newer head if another revision was published first, `NotPublished` if the platform did not apply the change, and `OutcomeUnknown` if
-/// the platform's reply was lost and reading back the head did not show the result.
+/// Returns `Conflict` with the newer head if another revision was published first,
+/// `NotPublished` if the platform did not apply the change, and `OutcomeUnknown` if the
+/// platform's reply was lost and reading back the head did not show the result.
 pub async fn publish(
     client: &PlatformClient,
     config: &FleetConfig,
@@ -128,7 +129,7 @@
     client: &PlatformClient,
     head: RevisionHead,
 ) -> Result<RevisionHead, PublishError> {
-    for attempt in 0..READ_BACK_TRIES {
+    for attempt in 0..READ_BACK_ATTEMPTS {
         tokio::time::sleep(std::time::Duration::from_millis(100 << attempt)).await;
         match read_head(client).await {
             Ok(Some((found, _))) if found.publish == head.publish => return Ok(head),
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -305,7 +305,7 @@
     for &index in &all {
         let rows: Vec<MemberRecord> =
             all[..index.min(ROWS)].iter().map(|&row| own_record(row)).collect();
-        roles[index].read_rows(&rows, &own_record(index));
+        roles[index].init_from_rows(&rows, &own_record(index));
         fleet.join(index);
     }
     let mut followed = vec![false; size];
