--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -19,7 +19,7 @@
 use crate::call::entry::EntryDuty;
 use crate::call::entry::intake::CallerCall;
 use crate::call::entry::watching;
-use crate::call::reply::{self, EntryBody, GuardBody};
+use crate::call::responses::{self, GuardBody, ResponseBody};
 use crate::decide::selection::TargetPlace;
 
 /// Wait told to a caller whose target could not be reached, in milliseconds.
@@ -38,7 +38,7 @@
 /// How a try ended.
 pub(crate) enum AttemptEnd {
     /// The target answered.
-    Answered(Response<EntryBody>),
+    Answered(Response<ResponseBody>),
     /// The call did not run there.
     Refused { reason: RefusalReason, retry_after_ms: u32 },
     /// The call may have run there.
@@ -316,7 +316,7 @@
             let length = *length;
             let ended = Box::new(move |_whole| drop(outstanding));
             let body = GuardBody::open(rest, stream, length, ended);
-            AttemptEnd::Answered(reply::answered(answer, &target, body))
+            AttemptEnd::Answered(responses::answered(answer, &target, body))
         }
         AnswerHead::Refused { reason, retry_after_ms, load, .. } => {
             outstanding.hear(*load);
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -17,7 +17,7 @@
 use crate::base::wire::KeyClaim;
 use crate::call::entry::EntryDuty;
 use crate::call::headers;
-use crate::call::reply::{self, EntryBody};
+use crate::call::responses::{self, ResponseBody};
 use crate::decide::benefit;
 use crate::decide::selection::SelectionPolicy;
 use crate::rules::account::AccountParameters;
@@ -67,13 +67,13 @@
     duty: &EntryDuty,
     request: Request<Incoming>,
     id: &Arc<str>,
-) -> Result<CallerCall, Response<EntryBody>> {
+) -> Result<CallerCall, Response<ResponseBody>> {
     let arrived = duty.clock.now();
     let (parts, body) = request.into_parts();
     let config = duty.config().ok_or_else(|| {
-        reply::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
+        responses::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
     })?;
-    if duty.names.call_facts {
+    if duty.names.railspan_headers {
         receive_of_account(duty, &config, arrived, &parts, body).await
     } else {
         receive_routed(duty, &config, arrived, &parts, body, id).await
@@ -88,18 +88,18 @@
     parts: &Parts,
     body: Incoming,
     id: &Arc<str>,
-) -> Result<CallerCall, Response<EntryBody>> {
+) -> Result<CallerCall, Response<ResponseBody>> {
     let names = duty.names;
-    let host = headers::text(&parts.headers, "host");
+    let host = headers::get_str(&parts.headers, "host");
     let host = host.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str));
     let route = config.route(host.unwrap_or_default(), parts.uri.path());
-    let route = route.ok_or_else(|| reply::not_run(StatusCode::NOT_FOUND, "no_route", 0))?;
-    let asked_ms = headers::text(&parts.headers, names.deadline_ms);
+    let route = route.ok_or_else(|| responses::not_run(StatusCode::NOT_FOUND, "no_route", 0))?;
+    let asked_ms = headers::get_str(&parts.headers, names.deadline_ms);
     let account = account_of(config, route, &parts.headers)
-        .map_err(|UnknownToken| reply::not_run(StatusCode::UNAUTHORIZED, "no_account", 0))?;
+        .map_err(|UnknownToken| responses::not_run(StatusCode::UNAUTHORIZED, "no_account", 0))?;
     let rank = account.and_then(|account| account.rank);
     let terms = route.terms(asked_ms.and_then(|text| text.trim().parse().ok()), rank);
-    let mut forwarded = headers::forward_request(&parts.headers, names);
+    let mut forwarded = headers::forward_request_headers(&parts.headers, names);
     if !config.accounts.is_empty() {
         forwarded.retain(|(name, _)| name != AUTHORIZATION.as_str());
     }
@@ -143,8 +143,8 @@
     arrived: MicroTime,
     parts: &Parts,
     body: Incoming,
-) -> Result<CallerCall, Response<EntryBody>> {
-    let refuse = |status, reason| reply::not_run(status, reason, 0);
+) -> Result<CallerCall, Response<ResponseBody>> {
+    let refuse = |status, reason| responses::not_run(status, reason, 0);
     let account = bearer(&parts.headers).and_then(|token| config.account(token));
     let account = account.ok_or_else(|| refuse(StatusCode::UNAUTHORIZED, "no_account"))?;
     let (service, path) = split_path(path_and_query(parts));
@@ -167,7 +167,7 @@
         terms,
         method: parts.method.to_string(),
         path,
-        headers: headers::forward_request(&parts.headers, duty.names),
+        headers: headers::forward_request_headers(&parts.headers, duty.names),
         body,
         arrived,
         deadline,
@@ -233,15 +233,15 @@
     body: Incoming,
     headers: &HeaderMap,
     limit: usize,
-) -> Result<Bytes, Response<EntryBody>> {
+) -> Result<Bytes, Response<ResponseBody>> {
     let refuse = |status, reason| {
-        let mut response = reply::not_run(status, reason, 0);
+        let mut response = responses::not_run(status, reason, 0);
         // The rest of the body stays unread: nothing may follow it.
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
         response
     };
-    let length = headers::text(headers, "content-length");
+    let length = headers::get_str(headers, "content-length");
     let length = length.and_then(|text| text.parse::<usize>().ok());
     if length.is_some_and(|length| length > limit) {
         return Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -18,7 +18,7 @@
 use crate::base::h2io::{self, HeadReader};
 use crate::base::ids::{CentreName, DaemonIncarnation};
 use crate::base::member::FleetView;
-use crate::call::silence::{SilenceLimits, notice_silence};
+use crate::call::keepalive::{KeepaliveLimits, enable_keepalive};
 
 /// Longest wait for a connection to a guard; a host that has no power answers
 /// nothing, and a call that waits for it is late.
@@ -26,8 +26,8 @@
 
 /// Longer than two lost packets in a row take; a call to a silent host is late
 /// all the same, the next one is not.
-const SILENCE: SilenceLimits =
-    SilenceLimits { unacknowledged: Duration::from_millis(900), idle: Duration::from_secs(2) };
+const SILENCE: KeepaliveLimits =
+    KeepaliveLimits { user_timeout: Duration::from_millis(900), idle: Duration::from_secs(2) };
 
 /// One `h2` connection for each guard life.
 #[derive(Debug, Default)]
@@ -106,7 +106,7 @@
 async fn dial(guard: SocketAddr, crossing: Option<IntCounter>) -> Option<SendRequest<Bytes>> {
     let socket = TcpStream::connect(guard).await.ok()?;
     socket.set_nodelay(true).ok()?;
-    notice_silence(&socket, &SILENCE).ok()?;
+    enable_keepalive(&socket, &SILENCE).ok()?;
     let (sender, connection) =
         h2io::client().handshake(CountedSocket::open(socket, crossing)).await.ok()?;
     spawn_local(async move { drop(connection.await) });
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -14,7 +14,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, HostName};
 use crate::base::wire::{self, GuardDatagram, QuotaReply, QuotaRequest};
-use crate::call::reply::{self, EntryBody};
+use crate::call::responses::{self, ResponseBody};
 use crate::decide::quota::{
     AccountQuota, GRANT_LASTS, QuotaStep, QuotaStock, QuotaTerms, choose_holders,
 };
@@ -80,7 +80,7 @@
         &self,
         account: &AccountParameters,
         id: &str,
-    ) -> Result<(), Response<EntryBody>> {
+    ) -> Result<(), Response<ResponseBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
         let want = match self.stock(&account.name, |stock| stock.arrive(self.clock.now())) {
             QuotaStep::Pass => return Ok(()),
@@ -96,7 +96,7 @@
             HolderAnswer::Unreached => {
                 info!(self.logger, "quota unreached"; "id" => id, "account" => %account.name);
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                Err(reply::not_run(status, "quota_unreached", UNREACHED_RETRY_MS))
+                Err(responses::not_run(status, "quota_unreached", UNREACHED_RETRY_MS))
             }
         }
     }
@@ -106,10 +106,10 @@
         account: &AccountParameters,
         id: &str,
         wait_ms: u32,
-    ) -> Response<EntryBody> {
+    ) -> Response<ResponseBody> {
         info!(self.logger, "over quota"; "id" => id, "account" => %account.name,
             "wait_ms" => wait_ms);
-        reply::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
+        responses::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
     }
 
     fn stock<T>(&self, account: &AccountName, act: impl FnOnce(&mut QuotaStock) -> T) -> T {
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -14,7 +14,7 @@
 use crate::call::entry::hedge;
 use crate::call::entry::intake::{CallerCall, NOT_READY_RETRY_MS};
 use crate::call::entry::measure;
-use crate::call::reply::{self, EntryBody};
+use crate::call::responses::{self, ResponseBody};
 use crate::decide::benefit;
 use crate::decide::outcome::RowVerdict;
 use crate::decide::retry::{CallCourse, NextStep, TryEnd};
@@ -39,14 +39,14 @@
 
 impl EntryDuty {
     /// Tries targets until one answers, or until no further try is allowed.
-    pub(super) async fn route(self: &Rc<Self>, mut call: CallerCall) -> Response<EntryBody> {
+    pub(super) async fn route(self: &Rc<Self>, mut call: CallerCall) -> Response<ResponseBody> {
         let mut tried: Vec<TargetName> = Vec::new();
         // Of those, the ones that will not be free again soon.
         let mut gone: Vec<TargetName> = Vec::new();
         let mut course = CallCourse::open(call.terms.repeatable, call.terms.attempts);
         let mut refusal = ("no_target", NOT_READY_RETRY_MS);
         // A target's own answer, kept while another target is tried.
-        let mut failure: Option<Response<EntryBody>> = None;
+        let mut failure: Option<Response<ResponseBody>> = None;
         loop {
             if let Some(response) = self.hold_back(&call, course.give_up()) {
                 return failure.unwrap_or(response);
@@ -175,36 +175,36 @@
         self: &Rc<Self>,
         call: &CallerCall,
         row: &ClaimRow,
-    ) -> Option<Response<EntryBody>> {
+    ) -> Option<Response<ResponseBody>> {
         let print = call.claim.as_ref().map_or("", |claim| claim.print.as_str());
         match row.verdict(print) {
             RowVerdict::OtherRequest => {
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
-                return Some(reply::not_run(status, "key_of_another_request", 0));
+                return Some(responses::not_run(status, "key_of_another_request", 0));
             }
-            RowVerdict::Answered(answer) => return Some(reply::recorded(answer)),
-            RowVerdict::Lost => return Some(reply::unknown("earlier_call_lost", None)),
+            RowVerdict::Answered(answer) => return Some(responses::recorded(answer)),
+            RowVerdict::Lost => return Some(responses::unknown("earlier_call_lost", None)),
             RowVerdict::AskGuard => {}
         }
         match attempt::revoke(self, row.guard, row.incarnation, row.call, call.deadline).await {
             Some(CallStatus::NotRun) => None,
-            Some(CallStatus::Answered(answer)) => Some(reply::recorded(&answer)),
+            Some(CallStatus::Answered(answer)) => Some(responses::recorded(&answer)),
             Some(CallStatus::Running) => {
-                Some(reply::unknown("earlier_call_running", Some(RUNNING_RETRY_MS)))
+                Some(responses::unknown("earlier_call_running", Some(RUNNING_RETRY_MS)))
             }
-            Some(CallStatus::Unknown) => Some(reply::unknown("earlier_call_lost", None)),
-            None => Some(reply::unknown("earlier_guard_silent", Some(RUNNING_RETRY_MS))),
+            Some(CallStatus::Unknown) => Some(responses::unknown("earlier_call_lost", None)),
+            None => Some(responses::unknown("earlier_guard_silent", Some(RUNNING_RETRY_MS))),
         }
     }
 }
 
 /// Makes the final answer of a call that no target answered.
-fn give_up(step: NextStep, refusal: (&str, u32)) -> Response<EntryBody> {
+fn give_up(step: NextStep, refusal: (&str, u32)) -> Response<ResponseBody> {
     if step == NextStep::TellUnknown {
-        return reply::unknown("lost", None);
+        return responses::unknown("lost", None);
     }
     let (reason, retry_after_ms) = refusal;
-    reply::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after_ms)
+    responses::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after_ms)
 }
 
 fn take_over(call: &mut CallerCall, version: u64) {
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -23,7 +23,7 @@
 use crate::base::socket::LingeringSocket;
 use crate::call::entry::intake;
 use crate::call::headers;
-use crate::call::reply::EntryBody;
+use crate::call::responses::ResponseBody;
 
 impl EntryDuty {
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -76,9 +76,9 @@
         SLOW_SENDER.max(Duration::from_millis(u64::from(set)))
     }
 
-    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<EntryBody> {
+    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let since = self.clock.now();
-        let id = self.names.request_id.and_then(|name| headers::text(request.headers(), name));
+        let id = self.names.request_id.and_then(|name| headers::get_str(request.headers(), name));
         let id: Arc<str> = Arc::from(id.unwrap_or_default());
         let open = OpenCall { duty: &self, id: &id, since, answered: Cell::new(false) };
         let mut response = match intake::receive(&self, request, &id).await {
@@ -96,8 +96,8 @@
         response
     }
 
-    fn log_answer(&self, id: &str, response: &Response<EntryBody>, took: MicroTime) {
-        let text = |name| headers::text(response.headers(), name).unwrap_or_default();
+    fn log_answer(&self, id: &str, response: &Response<ResponseBody>, took: MicroTime) {
+        let text = |name| headers::get_str(response.headers(), name).unwrap_or_default();
         let (outcome, reason) = (text(headers::OUTCOME), text(headers::REASON));
         let status = response.status().as_u16();
         if reason.is_empty() {
@@ -111,14 +111,14 @@
     }
 
     /// Brings an answer's head into the form that callers here expect.
-    fn finish_head(&self, response: &mut Response<EntryBody>) {
+    fn finish_head(&self, response: &mut Response<ResponseBody>) {
         let headers = response.headers_mut();
-        let retry_ms = headers::text(headers, headers::RETRY_AFTER_MS);
+        let retry_ms = headers::get_str(headers, headers::RETRY_AFTER_MS);
         if let Some(ms) = retry_ms.and_then(|ms| ms.parse::<u32>().ok()) {
             headers.insert(RETRY_AFTER, self.retry_after(ms));
         }
-        if !self.names.call_facts {
-            for name in headers::OWN_FACTS {
+        if !self.names.railspan_headers {
+            for name in headers::OWN_RESPONSE_HEADERS {
                 headers.remove(*name);
             }
         }
@@ -131,7 +131,7 @@
     /// callers here read them.
     fn retry_after(&self, ms: u32) -> HeaderValue {
         let whole = HeaderValue::from(ms.div_ceil(1_000).max(1));
-        if !self.names.fractional_retry {
+        if !self.names.fractional_retry_after {
             return whole;
         }
         let seconds = format!("{:.3}", f64::from(ms) / 1_000.0);
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -6,7 +6,7 @@
 use super::EntryDuty;
 use crate::base::suspect::{SuspectNotice, SuspectRecord};
 use crate::call::entry::intake::CallerCall;
-use crate::call::reply::{self, EntryBody};
+use crate::call::responses::{self, ResponseBody};
 use crate::decide::retry::NextStep;
 
 /// Why such a call is turned away.
@@ -39,7 +39,7 @@
         &self,
         call: &CallerCall,
         give_up: NextStep,
-    ) -> Option<Response<EntryBody>> {
+    ) -> Option<Response<ResponseBody>> {
         let record = self.standing(call);
         if !record.is_blamed() {
             return None;
@@ -48,8 +48,8 @@
         warn!(self.logger, "held back"; "id" => &*call.id, "digest" => %call.digest,
             "crashes" => record.crashes, "ran" => give_up == NextStep::TellUnknown);
         Some(match give_up {
-            NextStep::TellUnknown => reply::unknown(REASON, None),
-            _ => reply::not_run_ever(StatusCode::SERVICE_UNAVAILABLE, REASON),
+            NextStep::TellUnknown => responses::unknown(REASON, None),
+            _ => responses::not_run_ever(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
     }
 }
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -72,7 +72,7 @@
         return;
     };
     let names = duty.names;
-    let by = names.running_target.and_then(|name| headers::text(&answer.headers, name));
+    let by = names.responding_target.and_then(|name| headers::get_str(&answer.headers, name));
     if by.is_some_and(|name| name != key.1.as_str()) {
         return;
     }
@@ -84,7 +84,7 @@
 
 /// Reads how much longer a target stays cold; one that says nothing is not.
 fn cold_left(answer: &HeaderMap, names: &HeaderNames) -> Duration {
-    let text = names.cold_left_ms.and_then(|name| headers::text(answer, name));
+    let text = names.cold_remaining_ms.and_then(|name| headers::get_str(answer, name));
     let left_ms = text.and_then(|text| text.trim().parse::<f64>().ok()).unwrap_or_default();
     Duration::try_from_secs_f64(left_ms / 1_000.0).unwrap_or_default()
 }
@@ -115,7 +115,7 @@
     service: &ServiceName,
     address: SocketAddr,
 ) -> Option<TargetAnnouncement> {
-    let name = headers::text(answer, duty.names.running_target?)?;
+    let name = headers::get_str(answer, duty.names.responding_target?)?;
     let slots = target_call::slots(answer, duty.names)?;
     Some(TargetAnnouncement {
         service: service.clone(),
@@ -144,8 +144,8 @@
     if let Some(path) = duty.check_path()
         && let Some(answer) = ask(duty, address, &path).await
     {
-        let name = duty.names.running_target;
-        let by = name.and_then(|name| headers::text(&answer.headers, name));
+        let name = duty.names.responding_target;
+        let by = name.and_then(|name| headers::get_str(&answer.headers, name));
         let same = by.is_none_or(|by| by == key.1.as_str());
         return if same { TargetProof::Runs } else { TargetProof::Ended };
     }
--- a/src/call/guard/served/answer_pump.rs
+++ b/src/call/guard/served/answer_pump.rs
@@ -96,7 +96,7 @@
         let answered = AnswerHead::Answered {
             call: self.call.call,
             status: answer.status.as_u16(),
-            headers: headers::forward_answer(&answer.headers, self.call.duty.names),
+            headers: headers::forward_response_headers(&answer.headers, self.call.duty.names),
             length,
             work_us: self.call.work_us(),
             load: self.call.duty.load(&self.call.key),
--- a/src/call/guard/served/mod.rs
+++ b/src/call/guard/served/mod.rs
@@ -108,7 +108,7 @@
 
 impl ServedCall {
     pub(crate) fn open(duty: &Rc<GuardDuty>, head: &CallHead) -> Self {
-        let id = duty.names.request_id.and_then(|name| headers::find(&head.headers, name));
+        let id = duty.names.request_id.and_then(|name| headers::find_str(&head.headers, name));
         let now = duty.clock.now();
         let remaining = u64::from(head.remaining_ms.min(MAX_DEADLINE_MS));
         // Its time began to run when it was sent, not when it came.
--- a/src/call/guard/target_call.rs
+++ b/src/call/guard/target_call.rs
@@ -53,14 +53,14 @@
     if let Some(name) = names.expected_target {
         builder = builder.header(name, head.target.as_str());
     }
-    if names.call_facts {
+    if names.railspan_headers {
         builder = builder
             .header(headers::CALL, head.call.to_string())
             .header(headers::ACCOUNT, head.account.as_str())
             .header(headers::WORTH, u16::from(head.priority.worth))
             .header(headers::URGENT, u16::from(head.priority.urgent));
     }
-    if !names.keeps_host {
+    if !names.preserve_host {
         builder = builder.header(http::header::HOST, address.to_string());
     }
     for (name, value) in &head.headers {
@@ -76,8 +76,8 @@
     answer: &HeaderMap,
     names: &HeaderNames,
 ) -> AnswerMeaning {
-    let id = names.request_id.and_then(|name| headers::find(&head.headers, name));
-    let echo = names.request_id.and_then(|name| headers::text(answer, name));
+    let id = names.request_id.and_then(|name| headers::find_str(&head.headers, name));
+    let echo = names.request_id.and_then(|name| headers::get_str(answer, name));
     if id.is_some() && echo.is_some() && id != echo {
         return AnswerMeaning::Foreign;
     }
@@ -96,13 +96,13 @@
 
 /// Reads how long work takes at the target now, in percent of the usual.
 pub(crate) fn slowness(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
-    let text = headers::text(answer, names.load?)?;
+    let text = headers::get_str(answer, names.load?)?;
     text.split(',').nth(LOAD_PARTS - 1)?.trim().parse().ok()
 }
 
 /// Reads how many calls the target runs at once.
 pub(crate) fn slots(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
-    let text = headers::text(answer, names.load?)?;
+    let text = headers::get_str(answer, names.load?)?;
     text.split(',').nth(LOAD_PARTS - 2)?.trim().parse().ok()
 }
 
--- a/src/call/guard/target_pool.rs
+++ b/src/call/guard/target_pool.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::base::clock::{MicroTime, ProcessClock};
-use crate::call::silence::{SilenceLimits, notice_silence};
+use crate::call::keepalive::{KeepaliveLimits, enable_keepalive};
 
 /// Longest wait for a connection to a target on the same host.
 const TARGET_CONNECT: Duration = Duration::from_millis(300);
@@ -36,8 +36,8 @@
 
 /// On one host nothing is lost on the way: what is not acknowledged at once never
 /// will be.
-const SILENCE: SilenceLimits =
-    SilenceLimits { unacknowledged: Duration::from_millis(300), idle: Duration::from_secs(1) };
+const SILENCE: KeepaliveLimits =
+    KeepaliveLimits { user_timeout: Duration::from_millis(300), idle: Duration::from_secs(1) };
 
 /// Unused connections kept for one target.
 const MAX_IDLE: usize = 64;
@@ -146,7 +146,7 @@
 
 /// Returns how long a connection may stay unused; nothing if it will close.
 fn keep_time(headers: &HeaderMap) -> Option<Duration> {
-    let text = |name: &str| crate::call::headers::text(headers, name).unwrap_or_default();
+    let text = |name: &str| crate::call::headers::get_str(headers, name).unwrap_or_default();
     if text("connection").to_ascii_lowercase().contains("close") {
         return None;
     }
@@ -161,7 +161,7 @@
 async fn dial(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let socket = timeout(TARGET_CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
     socket.set_nodelay(true).ok()?;
-    notice_silence(&socket, &SILENCE).ok()?;
+    enable_keepalive(&socket, &SILENCE).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
     // How it ends shows in the call that it carries.
     spawn_local(async move { drop(connection.await) });
--- a/src/call/headers.rs
+++ b/src/call/headers.rs
@@ -41,7 +41,7 @@
     /// The only target that may run the request; set by the system.
     pub expected_target: Option<&'static str>,
     /// The target that answered, where targets tell.
-    pub running_target: Option<&'static str>,
+    pub responding_target: Option<&'static str>,
     /// A target's proof of a whole answer; a success without one is none.
     pub signature: Option<&'static str>,
     /// Set by a target that did not run the request.
@@ -49,30 +49,30 @@
     /// A target's load: running, waiting, slots, slowness in percent.
     pub load: Option<&'static str>,
     /// How much longer a target stays cold, in milliseconds, on its health answers.
-    pub cold_left_ms: Option<&'static str>,
+    pub cold_remaining_ms: Option<&'static str>,
     /// Whether the caller's `Host` travels to the target.
-    pub keeps_host: bool,
+    pub preserve_host: bool,
     /// Whether callers read fractions of a second in `Retry-After`.
-    pub fractional_retry: bool,
+    pub fractional_retry_after: bool,
     /// Whether targets and callers get the facts that only this system names.
-    pub call_facts: bool,
+    pub railspan_headers: bool,
 }
 
 /// The system's own names.
-pub const OWN_NAMES: HeaderNames = HeaderNames {
+pub const DEFAULT_HEADER_NAMES: HeaderNames = HeaderNames {
     deadline_ms: DEADLINE_MS,
     request_id: None,
     caller_service: None,
     account: None,
     expected_target: None,
-    running_target: None,
+    responding_target: None,
     signature: None,
     not_executed: None,
     load: None,
-    cold_left_ms: None,
-    keeps_host: false,
-    fractional_retry: false,
-    call_facts: true,
+    cold_remaining_ms: None,
+    preserve_host: false,
+    fractional_retry_after: false,
+    railspan_headers: true,
 };
 
 impl HeaderNames {
@@ -85,18 +85,19 @@
 }
 
 /// Returns a header of a list as text.
-pub(crate) fn find<'a>(list: &'a HeaderList, name: &str) -> Option<&'a str> {
+pub(crate) fn find_str<'a>(list: &'a HeaderList, name: &str) -> Option<&'a str> {
     let (_, value) = list.iter().find(|(other, _)| other == name)?;
     std::str::from_utf8(value).ok()
 }
 
 /// Returns a header as text.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub(crate) fn get_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Headers of answers that only the system's own interface has.
-pub(crate) const OWN_FACTS: &[&str] = &[OUTCOME, REASON, RETRY_AFTER_MS, TARGET, RECORDED];
+pub(crate) const OWN_RESPONSE_HEADERS: &[&str] =
+    &[OUTCOME, REASON, RETRY_AFTER_MS, TARGET, RECORDED];
 
 /// Headers that belong to one connection (RFC 9110, 7.6.1), or to framing.
 const HOP: &[&str] = &[
@@ -117,10 +118,10 @@
 pub(crate) type HeaderList = Vec<(String, Vec<u8>)>;
 
 /// Returns the request headers that travel to the target.
-pub(crate) fn forward_request(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
+pub(crate) fn forward_request_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
     let mut list = forward(headers);
     list.retain(|(name, _)| name != "content-length" && !names.is_reserved(name));
-    if names.keeps_host
+    if names.preserve_host
         && let Some(host) = headers.get(http::header::HOST)
     {
         list.push(("host".to_owned(), host.as_bytes().to_vec()));
@@ -130,9 +131,9 @@
 
 /// Returns the answer headers that travel to the caller: not what the target
 /// tells only its guard.
-pub(crate) fn forward_answer(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
+pub(crate) fn forward_response_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
     let mut list = forward(headers);
-    let private = [names.load, names.running_target];
+    let private = [names.load, names.responding_target];
     list.retain(|(name, _)| !private.contains(&Some(name.as_str())));
     list
 }
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -7,5 +7,5 @@
 pub(crate) mod entry;
 pub(crate) mod guard;
 pub(crate) mod headers;
-pub(crate) mod reply;
-pub(crate) mod silence;
+pub(crate) mod keepalive;
+pub(crate) mod responses;
--- a/src/call/reply.rs
+++ b/src/call/responses.rs
@@ -27,7 +27,7 @@
 impl CallOutcome {
     /// Returns the word in the outcome header.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
             Self::NotRun => "not_run",
@@ -38,18 +38,18 @@
 
 /// An answer that was cut off or does not fit its head.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct BrokenAnswer(&'static str);
+pub(crate) struct ResponseBodyError(&'static str);
 
-impl std::fmt::Display for BrokenAnswer {
+impl std::fmt::Display for ResponseBodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for BrokenAnswer {}
+impl std::error::Error for ResponseBodyError {}
 
 /// The body of an answer to a caller.
-pub(crate) enum EntryBody {
+pub(crate) enum ResponseBody {
     /// Bytes at hand.
     Whole(Option<Bytes>),
     /// Bytes that still come from a guard.
@@ -78,7 +78,10 @@
         Self { rest, stream, left: length, ended: Some(ended) }
     }
 
-    fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    fn poll_part(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, ResponseBodyError>>> {
         if !self.rest.is_empty() {
             let part = std::mem::take(&mut self.rest);
             return Poll::Ready(Some(self.count(part)));
@@ -88,9 +91,11 @@
                 h2io::release(&mut self.stream, part.len());
                 Poll::Ready(Some(self.count(part)))
             }
-            Some(Err(_reset)) => Poll::Ready(Some(Err(BrokenAnswer("the answer was cut off")))),
+            Some(Err(_reset)) => {
+                Poll::Ready(Some(Err(ResponseBodyError("the answer was cut off"))))
+            }
             None if self.left.is_some_and(|left| left > 0) => {
-                Poll::Ready(Some(Err(BrokenAnswer("the answer is too short"))))
+                Poll::Ready(Some(Err(ResponseBodyError("the answer is too short"))))
             }
             None => {
                 self.end(true);
@@ -99,11 +104,11 @@
         }
     }
 
-    fn count(&mut self, part: Bytes) -> Result<Bytes, BrokenAnswer> {
+    fn count(&mut self, part: Bytes) -> Result<Bytes, ResponseBodyError> {
         if let Some(left) = &mut self.left {
             *left = left
                 .checked_sub(part.len() as u64)
-                .ok_or(BrokenAnswer("the answer is too long"))?;
+                .ok_or(ResponseBodyError("the answer is too long"))?;
         }
         Ok(part)
     }
@@ -121,14 +126,14 @@
     }
 }
 
-impl Body for EntryBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Guard(body) => {
@@ -156,19 +161,19 @@
     status: StatusCode,
     reason: &str,
     retry_after_ms: u32,
-) -> Response<EntryBody> {
+) -> Response<ResponseBody> {
     let mut response = system_answer(status, CallOutcome::NotRun, reason);
     set_retry(&mut response, retry_after_ms);
     response
 }
 
 /// Makes an answer for a call that did not run, and would not if it came again.
-pub(crate) fn not_run_ever(status: StatusCode, reason: &str) -> Response<EntryBody> {
+pub(crate) fn not_run_ever(status: StatusCode, reason: &str) -> Response<ResponseBody> {
     system_answer(status, CallOutcome::NotRun, reason)
 }
 
 /// Makes an answer for a call that may have run.
-pub(crate) fn unknown(reason: &str, retry_after_ms: Option<u32>) -> Response<EntryBody> {
+pub(crate) fn unknown(reason: &str, retry_after_ms: Option<u32>) -> Response<ResponseBody> {
     let mut response = system_answer(StatusCode::GATEWAY_TIMEOUT, CallOutcome::Unknown, reason);
     if let Some(retry_after_ms) = retry_after_ms {
         set_retry(&mut response, retry_after_ms);
@@ -177,7 +182,7 @@
 }
 
 /// Makes the answer that was recorded for an earlier call with the same key.
-pub(crate) fn recorded(answer: &RecordedAnswer) -> Response<EntryBody> {
+pub(crate) fn recorded(answer: &RecordedAnswer) -> Response<ResponseBody> {
     let Some(body) = &answer.body else {
         // Without its body the answer must not pass for a whole one.
         let mut response =
@@ -185,11 +190,11 @@
         response.headers_mut().insert(headers::RECORDED, HeaderValue::from_static("1"));
         return response;
     };
-    let mut response = Response::new(EntryBody::Whole(Some(Bytes::copy_from_slice(body))));
+    let mut response = Response::new(ResponseBody::Whole(Some(Bytes::copy_from_slice(body))));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert(headers::OUTCOME, HeaderValue::from_static(CallOutcome::Answered.word()));
+    headers.insert(headers::OUTCOME, HeaderValue::from_static(CallOutcome::Answered.as_str()));
     headers.insert(headers::RECORDED, HeaderValue::from_static("1"));
     let content_type = answer.content_type.as_deref().map(HeaderValue::from_str);
     if let Some(Ok(value)) = content_type {
@@ -199,8 +204,8 @@
 }
 
 /// Makes the answer that a target gave, with `body` still to come.
-pub(crate) fn answered(head: &AnswerHead, target: &str, body: GuardBody) -> Response<EntryBody> {
-    let mut response = Response::new(EntryBody::Guard(body));
+pub(crate) fn answered(head: &AnswerHead, target: &str, body: GuardBody) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Guard(body));
     let AnswerHead::Answered { status, headers: list, .. } = head else { return response };
     *response.status_mut() =
         StatusCode::from_u16(*status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -211,19 +216,19 @@
             headers.append(name, value);
         }
     }
-    headers.insert(headers::OUTCOME, HeaderValue::from_static(CallOutcome::Answered.word()));
+    headers.insert(headers::OUTCOME, HeaderValue::from_static(CallOutcome::Answered.as_str()));
     if let Ok(value) = HeaderValue::from_str(target) {
         headers.insert(headers::TARGET, value);
     }
     response
 }
 
-fn system_answer(status: StatusCode, outcome: CallOutcome, reason: &str) -> Response<EntryBody> {
-    let text = format!("{{\"outcome\":\"{}\",\"reason\":\"{reason}\"}}\n", outcome.word());
-    let mut response = Response::new(EntryBody::Whole(Some(Bytes::from(text))));
+fn system_answer(status: StatusCode, outcome: CallOutcome, reason: &str) -> Response<ResponseBody> {
+    let text = format!("{{\"outcome\":\"{}\",\"reason\":\"{reason}\"}}\n", outcome.as_str());
+    let mut response = Response::new(ResponseBody::Whole(Some(Bytes::from(text))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    headers.insert(headers::OUTCOME, HeaderValue::from_static(outcome.word()));
+    headers.insert(headers::OUTCOME, HeaderValue::from_static(outcome.as_str()));
     headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Ok(value) = HeaderValue::from_str(reason) {
         headers.insert(headers::REASON, value);
@@ -231,7 +236,7 @@
     response
 }
 
-fn set_retry(response: &mut Response<EntryBody>, retry_after_ms: u32) {
+fn set_retry(response: &mut Response<ResponseBody>, retry_after_ms: u32) {
     // The entry brings it into the form that its callers read.
     let headers = response.headers_mut();
     headers.insert(headers::RETRY_AFTER_MS, HeaderValue::from(retry_after_ms));
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -45,7 +45,7 @@
 fn check_terms(file: &str, text: &str, settings: &DaemonSettings) -> Vec<FileFinding> {
     let Some(deployment) = &settings.deployment else { return Vec::new() };
     let place = TextPlace::of(text, text.find("\"terms\"").unwrap_or_default());
-    let faults = (crate::platform::adapter().read_terms)(&deployment.terms).faults;
+    let faults = (crate::platform::adapter().parse_terms)(&deployment.terms).errors;
     let finding = |text| FileFinding { file: file.to_owned(), place, text };
     faults.into_iter().map(finding).collect()
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,7 +59,7 @@
     WatchHead, WireError, decode, encode,
 };
 pub use call::headers::*;
-pub use call::reply::CallOutcome;
+pub use call::responses::CallOutcome;
 pub use command::cli::run_command;
 pub use command::operator::{HostCondition, HostStatus, TargetLine};
 pub use command::status::render_status;
@@ -94,7 +94,7 @@
 pub use fleet::membership::{MembershipAction, MembershipEvent, MembershipState};
 pub use platform::{ConfigurationError, adapter, open_store};
 pub use process::adapter::{
-    ControlReply, ControlRequest, DeploymentAdapter, DeploymentTerms, ReadTerms,
+    ControlError, ControlRequest, DeploymentAdapter, DeploymentTerms, ParsedTerms,
 };
 pub use process::daemon::{DaemonParts, RunningDaemon, spawn};
 pub use process::listen::{DaemonAddresses, StartError};
--- a/src/process/adapter.rs
+++ b/src/process/adapter.rs
@@ -18,9 +18,9 @@
     /// Path at which the platform asks for readiness.
     pub ready_path: &'static str,
     /// Reads a call of the host's target; `Err` is the answer to a bad one.
-    pub read_report: for<'a> fn(&ControlRequest<'a>) -> Result<TargetReport, ControlReply>,
+    pub parse_report: for<'a> fn(&ControlRequest<'a>) -> Result<TargetReport, ControlError>,
     /// Reads the terms that the platform sets for all daemons.
-    pub read_terms: fn(&str) -> ReadTerms,
+    pub parse_terms: fn(&str) -> ParsedTerms,
 }
 
 /// A call of the host's target to its daemon.
@@ -36,7 +36,7 @@
 
 /// An answer to a call that can't be used.
 #[derive(Debug)]
-pub struct ControlReply {
+pub struct ControlError {
     /// HTTP status.
     pub status: StatusCode,
     /// What is wrong, for a person.
@@ -62,11 +62,11 @@
 
 /// Terms as they were read; what could not be read is left at its default.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadTerms {
+pub struct ParsedTerms {
     /// The terms.
     pub terms: DeploymentTerms,
     /// What is wrong with the text, a line each, for a person.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 impl Default for DeploymentTerms {
--- a/src/process/control.rs
+++ b/src/process/control.rs
@@ -60,7 +60,7 @@
         Err(response) => return response,
     };
     let asked = ControlRequest { method: &method, path: &path, body: &body };
-    let report = match (adapter.read_report)(&asked) {
+    let report = match (adapter.parse_report)(&asked) {
         Ok(report) => report,
         Err(reply) => return httpd::fault(reply.status, &reply.text),
     };
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -16,7 +16,7 @@
 use crate::base::metrics::DaemonMetrics;
 use crate::call::entry::{self, EntryParts};
 use crate::call::guard::{self, GuardParts, GuardRings};
-use crate::call::headers::OWN_NAMES;
+use crate::call::headers::DEFAULT_HEADER_NAMES;
 use crate::decide::probe::ProbeBudget;
 use crate::durable::{self, ConfigSource, DurableParts, PlatformRings};
 use crate::duty::events::{AdminEvent, EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
@@ -117,8 +117,8 @@
     let seed = settings.seed.unwrap_or_else(|| DaemonIncarnation::random().0);
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
-    let names = if deployment.is_some() { adapter.headers } else { &OWN_NAMES };
-    let terms = deployment.map(|set| reload::read_terms(adapter, &set.terms, &logger));
+    let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
+    let terms = deployment.map(|set| reload::parse_terms(adapter, &set.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -30,16 +30,16 @@
 }
 
 /// Reads the terms of a deployment; what can't be read is told and left out.
-pub(crate) fn read_terms(
+pub(crate) fn parse_terms(
     adapter: &DeploymentAdapter,
     text: &str,
     logger: &Logger,
 ) -> DeploymentTerms {
-    let read = (adapter.read_terms)(text);
-    for fault in &read.faults {
-        warn!(logger, "term unreadable"; "why" => fault);
+    let parsed = (adapter.parse_terms)(text);
+    for error in &parsed.errors {
+        warn!(logger, "term unreadable"; "why" => error);
     }
-    read.terms
+    parsed.terms
 }
 
 /// What a reload needs.
@@ -72,7 +72,7 @@
             }
         };
         let deployment = settings.deployment.as_ref();
-        let terms = deployment.map(|set| read_terms(reloading.adapter, &set.terms, logger));
+        let terms = deployment.map(|set| parse_terms(reloading.adapter, &set.terms, logger));
         let changed = terms != reloading.in_force;
         if changed || signalled {
             info!(logger, "settings reloaded"; "signalled" => signalled, "changed" => changed);
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -13,7 +13,7 @@
 fn read(body: &[u8]) -> Option<TargetReport> {
     let path = "/instances/i-1/heartbeat";
     let request = ControlRequest { method: &Method::POST, path, body };
-    (adapter().read_report)(&request).ok()
+    (adapter().parse_report)(&request).ok()
 }
 
 fn heartbeat() -> Value {
@@ -95,7 +95,7 @@
     let path = "/instances/i-1/leave";
     let read = |body: &[u8]| {
         let request = ControlRequest { method: &Method::POST, path, body };
-        (adapter().read_report)(&request)
+        (adapter().parse_report)(&request)
     };
     let refused = read(b"{\"born\":\"now\"}").expect_err("no end");
     assert_eq!(refused.status.as_u16(), 400);
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -21,8 +21,8 @@
     let template = include_str!("../platform/settings.jsonc");
     let terms = [("grace", "7s"), ("retry_budget_ratio", "0.3"), ("budget_slack", "216")];
     let text = fill_in(template, &terms);
-    let read = (railspan::adapter().read_terms)(&text);
-    assert_eq!(read.faults, Vec::<String>::new(), "{text}");
+    let read = (railspan::adapter().parse_terms)(&text);
+    assert_eq!(read.errors, Vec::<String>::new(), "{text}");
     assert_eq!(read.terms.grace, Duration::from_secs(7));
     assert_eq!(read.terms.target_lease, Duration::from_secs(6));
     assert!((read.terms.retry_ratio - 0.3).abs() < 1e-9);
@@ -31,8 +31,8 @@
 
 #[test]
 fn a_term_that_cannot_be_read_is_told_and_the_rest_holds() {
-    let read = (railspan::adapter().read_terms)("heartbeat=1s,0.2,grace=soon,budget_slack=9");
-    assert_eq!(read.faults.len(), 2, "{:?}", read.faults);
+    let read = (railspan::adapter().parse_terms)("heartbeat=1s,0.2,grace=soon,budget_slack=9");
+    assert_eq!(read.errors.len(), 2, "{:?}", read.errors);
     assert_eq!(read.terms.grace, railspan::DeploymentTerms::default().grace);
     assert!((read.terms.retry_slack - 9.0).abs() < 1e-9);
 }
