--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -49,7 +49,7 @@
             "crashes" => record.crashes, "ran" => give_up == NextStep::TellUnknown);
         Some(match give_up {
             NextStep::TellUnknown => responses::unknown(REASON, None),
-            _ => responses::not_run_ever(StatusCode::SERVICE_UNAVAILABLE, REASON),
+            _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
     }
 }
--- a/src/call/headers.rs
+++ b/src/call/headers.rs
@@ -1,64 +1,67 @@
-//! HTTP headers of this system, and which others travel on.
+//! HTTP headers that railspan reads and sets, and which other headers it forwards.
 
 use http::HeaderMap;
 
-/// `answered`, `not_run` or `unknown`; on every answer.
+/// Outcome of the call: `answered`, `not_run` or `unknown`; set on every response.
 pub const OUTCOME: &str = "railspan-outcome";
-/// Why an answer of the system itself is as it is.
+/// Reason for a response that railspan itself generated.
 pub const REASON: &str = "railspan-reason";
-/// When to come back, in milliseconds; more exact than `Retry-After`.
+/// Delay before a retry, in milliseconds; more exact than `Retry-After`.
 pub const RETRY_AFTER_MS: &str = "railspan-retry-after-ms";
-/// Time left to the deadline, in milliseconds; from callers, and to targets.
+/// Time left until the deadline, in milliseconds; sent by callers, and to targets.
 pub const DEADLINE_MS: &str = "railspan-deadline-ms";
 /// The target that answered.
 pub const TARGET: &str = "railspan-target";
-/// Set to `1` when the answer is the recorded one of an earlier call.
+/// Set to `1` if the response is the recorded one of an earlier call.
 pub const RECORDED: &str = "railspan-recorded";
-/// Id of the call, to targets.
+/// Id of the call; sent to targets.
 pub const CALL: &str = "railspan-call";
-/// The client account, to targets.
+/// Client account of the call; sent to targets.
 pub const ACCOUNT: &str = "railspan-account";
-/// Worth of the call, to targets.
+/// Worth of the call; sent to targets.
 pub const WORTH: &str = "railspan-worth";
-/// Whether the call is urgent, to targets.
+/// Whether the call is urgent; sent to targets.
 pub const URGENT: &str = "railspan-urgent";
-/// The caller's key of a call that must not repeat.
+/// Idempotency key that callers set on a call that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Names of the headers that carry the system's own facts.
+/// Names of the headers that carry railspan's metadata.
 ///
-/// A deployment may have names of its own; what a name stands for is the same.
+/// A deployment's platform may use other names for the same meanings. `None` means that
+/// the header isn't used.
 #[derive(Debug)]
 pub struct HeaderNames {
-    /// Time left to the deadline, in milliseconds; from callers, and to targets.
+    /// Time left until the deadline, in milliseconds; sent by callers, and to targets.
     pub deadline_ms: &'static str,
-    /// The caller's id of its request; targets echo it.
+    /// Request id that the caller sets; targets echo it.
     pub request_id: Option<&'static str>,
-    /// The service whose host the request comes from; set by the system.
+    /// Service that runs on the host which the request comes from; set by railspan.
     pub caller_service: Option<&'static str>,
-    /// The client account whose key the request bears; set by the system.
+    /// Client account that the request's API token belongs to; set by railspan.
     pub account: Option<&'static str>,
-    /// The only target that may run the request; set by the system.
+    /// Only target that may run the request; set by railspan.
     pub expected_target: Option<&'static str>,
-    /// The target that answered, where targets tell.
+    /// Target that responded, set by that target.
     pub responding_target: Option<&'static str>,
-    /// A target's proof of a whole answer; a success without one is none.
+    /// Signature that a target sets on a complete response; a success response without
+    /// one doesn't count as a success.
     pub signature: Option<&'static str>,
     /// Set by a target that did not run the request.
     pub not_executed: Option<&'static str>,
-    /// A target's load: running, waiting, slots, slowness in percent.
+    /// Load of a target: running calls, waiting calls, slots, slowness in percent.
     pub load: Option<&'static str>,
-    /// How much longer a target stays cold, in milliseconds, on its health answers.
+    /// Time until a target has warmed up, in milliseconds; set on health responses.
     pub cold_remaining_ms: Option<&'static str>,
-    /// Whether the caller's `Host` travels to the target.
+    /// Whether the caller's `Host` header is forwarded to the target.
     pub preserve_host: bool,
-    /// Whether callers read fractions of a second in `Retry-After`.
+    /// Whether callers accept fractions of a second in `Retry-After`.
     pub fractional_retry_after: bool,
-    /// Whether targets and callers get the facts that only this system names.
+    /// Whether targets and callers receive the `railspan-` headers; if so, calls name
+    /// their service in the path, otherwise they are routed by host and path.
     pub railspan_headers: bool,
 }
 
-/// The system's own names.
+/// Header names without a deployment.
 pub const DEFAULT_HEADER_NAMES: HeaderNames = HeaderNames {
     deadline_ms: DEADLINE_MS,
     request_id: None,
@@ -76,31 +79,31 @@
 };
 
 impl HeaderNames {
-    /// Tells whether only the system may set a header of a request.
+    /// Returns whether railspan sets this request header itself and drops a forwarded one.
     fn is_reserved(&self, name: &str) -> bool {
-        let own = [self.caller_service, self.account, self.expected_target];
-        let reserved = std::iter::once(Some(self.deadline_ms)).chain(own);
-        reserved.flatten().any(|own| own == name)
+        let optional = [self.caller_service, self.account, self.expected_target];
+        let reserved = std::iter::once(Some(self.deadline_ms)).chain(optional);
+        reserved.flatten().any(|reserved| reserved == name)
     }
 }
 
-/// Returns a header of a list as text.
+/// Returns the value of a header in a list, if it is valid UTF-8.
 pub(crate) fn find_str<'a>(list: &'a HeaderList, name: &str) -> Option<&'a str> {
     let (_, value) = list.iter().find(|(other, _)| other == name)?;
     std::str::from_utf8(value).ok()
 }
 
-/// Returns a header as text.
+/// Returns the value of a header, if it is visible ASCII.
 pub(crate) fn get_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Headers of answers that only the system's own interface has.
+/// `railspan-` response headers, removed where a deployment doesn't use them.
 pub(crate) const OWN_RESPONSE_HEADERS: &[&str] =
     &[OUTCOME, REASON, RETRY_AFTER_MS, TARGET, RECORDED];
 
-/// Headers that belong to one connection (RFC 9110, 7.6.1), or to framing.
-const HOP: &[&str] = &[
+/// Headers of one connection (RFC 9110, section 7.6.1) or of message framing.
+const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -114,10 +117,10 @@
     "expect",
 ];
 
-/// Headers as a head carries them.
+/// Headers as the heads of messages between daemons carry them.
 pub(crate) type HeaderList = Vec<(String, Vec<u8>)>;
 
-/// Returns the request headers that travel to the target.
+/// Returns the request headers that are forwarded to the target.
 pub(crate) fn forward_request_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
     let mut list = forward(headers);
     list.retain(|(name, _)| name != "content-length" && !names.is_reserved(name));
@@ -129,30 +132,32 @@
     list
 }
 
-/// Returns the answer headers that travel to the caller: not what the target
-/// tells only its guard.
+/// Returns the response headers that are forwarded to the caller, without those that are
+/// meant for the guard only.
 pub(crate) fn forward_response_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderList {
     let mut list = forward(headers);
-    let private = [names.load, names.responding_target];
-    list.retain(|(name, _)| !private.contains(&Some(name.as_str())));
+    let guard_only = [names.load, names.responding_target];
+    list.retain(|(name, _)| !guard_only.contains(&Some(name.as_str())));
     list
 }
 
 fn forward(headers: &HeaderMap) -> HeaderList {
-    let named = connection_names(headers);
+    let connection_headers = connection_headers(headers);
     headers
         .iter()
         .filter(|(name, _)| {
             let name = name.as_str();
-            let own = name.starts_with("railspan-");
-            !HOP.contains(&name) && !own && !named.iter().any(|other| other == name)
+            let railspan = name.starts_with("railspan-");
+            !HOP_BY_HOP.contains(&name)
+                && !railspan
+                && !connection_headers.iter().any(|other| other == name)
         })
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect()
 }
 
-/// Returns the headers that `Connection` names.
-fn connection_names(headers: &HeaderMap) -> Vec<String> {
+/// Returns the names of the headers listed in `Connection`, in lower case.
+fn connection_headers(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(http::header::CONNECTION);
     let texts = values.iter().filter_map(|value| value.to_str().ok());
     texts.flat_map(|text| text.split(',')).map(|name| name.trim().to_ascii_lowercase()).collect()
--- a/src/call/keepalive.rs
+++ b/src/call/keepalive.rs
@@ -1,7 +1,8 @@
-//! Connections whose other end may go without a sign.
+//! Detection of TCP peers that disappear without closing the connection.
 //!
-//! A host without power, or a path that swallows everything, resets nothing. The
-//! system notices when it is told how long to wait for acknowledgements.
+//! A host that loses power, or a network path that drops all packets, sends no reset.
+//! Keepalive probes and a limit on unacknowledged data let the operating system break
+//! such a connection.
 
 use std::io;
 use std::time::Duration;
@@ -9,24 +10,24 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How soon a connection breaks when nothing comes back on it.
+/// Time after which a connection to an unresponsive peer breaks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepaliveLimits {
-    /// Time after which bytes that nobody acknowledges break it.
+    /// Longest time that sent bytes may stay unacknowledged.
     pub(crate) user_timeout: Duration,
-    /// Time unused after which the other end is asked whether it is there; in
-    /// whole seconds, the system's unit.
+    /// Idle time before the first keepalive probe; in whole seconds, the unit of the
+    /// socket option.
     pub(crate) idle: Duration,
 }
 
-/// Time between two such questions, and how many stay unanswered at most.
+/// Interval between keepalive probes, and how many may stay unanswered.
 pub(crate) const KEEPALIVE_PROBES: (Duration, u32) = (Duration::from_secs(1), 2);
 
-/// Lets a connection break soon when its other end has gone without a sign.
+/// Makes a connection break soon after its peer stops responding.
 ///
 /// # Errors
 ///
-/// Fails when the system does not take the limits.
+/// Returns an error if the operating system rejects a socket option.
 pub(crate) fn enable_keepalive(socket: &TcpStream, limits: &KeepaliveLimits) -> io::Result<()> {
     let (interval, retries) = KEEPALIVE_PROBES;
     let keepalive =
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -1,8 +1,8 @@
-//! A call's way: entry, the hop between daemons, guard, target, and back.
+//! Handling of calls, from the caller to the target and back.
 //!
-//! `entry` takes a caller's call and sends it to a guard; `guard` lets it start, speaks
-//! to the target and sends the answer back. Where a call goes and when it starts is
-//! decided in `decide`; here bytes move.
+//! `entry` accepts calls from callers and sends each to the guard of a chosen target;
+//! `guard` starts the call at its target and returns the response. These modules only
+//! move bytes: `decide` chooses the target and when a call starts.
 
 pub(crate) mod entry;
 pub(crate) mod guard;
--- a/src/call/responses.rs
+++ b/src/call/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself makes.
+//! Responses to callers: those that railspan generates and those of targets.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -13,19 +13,19 @@
 use crate::base::wire::AnswerHead;
 use crate::call::headers;
 
-/// What the system says became of a call.
+/// Outcome of a call, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A target answered it.
+    /// A target answered the call.
     Answered,
-    /// It did not run and never will.
+    /// The call did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
 impl CallOutcome {
-    /// Returns the word in the outcome header.
+    /// Returns the value of the outcome header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -36,7 +36,7 @@
     }
 }
 
-/// An answer that was cut off or does not fit its head.
+/// A response body that was cut off or does not match the length in its head.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ResponseBodyError(&'static str);
 
@@ -48,55 +48,55 @@
 
 impl std::error::Error for ResponseBodyError {}
 
-/// The body of an answer to a caller.
+/// Body of a response to a caller.
 pub(crate) enum ResponseBody {
-    /// Bytes at hand.
-    Whole(Option<Bytes>),
-    /// Bytes that still come from a guard.
-    Guard(GuardBody),
+    /// A body that is complete already.
+    Full(Option<Bytes>),
+    /// A body that is streamed from a guard.
+    Streamed(GuardBody),
 }
 
-/// A body that comes from a guard, checked against its length.
+/// A body that is streamed from a guard and checked against its expected length.
 pub(crate) struct GuardBody {
-    /// Read ahead together with the head.
-    rest: Bytes,
+    /// Bytes that were read together with the head.
+    buffered: Bytes,
     stream: RecvStream,
-    /// Bytes still to come, where the length is known.
-    left: Option<u64>,
-    /// Called once when the body ends, however it does.
-    ended: Option<Box<dyn FnOnce(bool)>>,
+    /// Number of bytes still to come, if the length is known.
+    remaining: Option<u64>,
+    /// Called once when the body ends or is dropped, with whether it was complete.
+    on_end: Option<Box<dyn FnOnce(bool)>>,
 }
 
 impl GuardBody {
-    /// Makes a body of `length` bytes, where that is known.
+    /// Creates a body of `length` bytes, if that is known, beginning with `buffered`.
     pub(crate) fn open(
-        rest: Bytes,
+        buffered: Bytes,
         stream: RecvStream,
         length: Option<u64>,
-        ended: Box<dyn FnOnce(bool)>,
+        on_end: Box<dyn FnOnce(bool)>,
     ) -> Self {
-        Self { rest, stream, left: length, ended: Some(ended) }
+        Self { buffered, stream, remaining: length, on_end: Some(on_end) }
     }
 
-    fn poll_part(
+    fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, ResponseBodyError>>> {
-        if !self.rest.is_empty() {
-            let part = std::mem::take(&mut self.rest);
-            return Poll::Ready(Some(self.count(part)));
+        if !self.buffered.is_empty() {
+            let chunk = std::mem::take(&mut self.buffered);
+            return Poll::Ready(Some(self.check_length(chunk)));
         }
         match ready!(self.stream.poll_data(cx)) {
-            Some(Ok(part)) => {
-                h2io::release(&mut self.stream, part.len());
-                Poll::Ready(Some(self.count(part)))
+            Some(Ok(chunk)) => {
+                h2io::release(&mut self.stream, chunk.len());
+                Poll::Ready(Some(self.check_length(chunk)))
             }
             Some(Err(_reset)) => {
-                Poll::Ready(Some(Err(ResponseBodyError("the answer was cut off"))))
-            }
-            None if self.left.is_some_and(|left| left > 0) => {
-                Poll::Ready(Some(Err(ResponseBodyError("the answer is too short"))))
+                Poll::Ready(Some(Err(ResponseBodyError("response body was cut off"))))
             }
+            None if self.remaining.is_some_and(|remaining| remaining > 0) => Poll::Ready(Some(
+                Err(ResponseBodyError("response body is shorter than its length")),
+            )),
             None => {
                 self.end(true);
                 Poll::Ready(None)
@@ -104,18 +104,18 @@
         }
     }
 
-    fn count(&mut self, part: Bytes) -> Result<Bytes, ResponseBodyError> {
-        if let Some(left) = &mut self.left {
-            *left = left
-                .checked_sub(part.len() as u64)
-                .ok_or(ResponseBodyError("the answer is too long"))?;
+    fn check_length(&mut self, chunk: Bytes) -> Result<Bytes, ResponseBodyError> {
+        if let Some(remaining) = &mut self.remaining {
+            *remaining = remaining
+                .checked_sub(chunk.len() as u64)
+                .ok_or(ResponseBodyError("response body is longer than its length"))?;
         }
-        Ok(part)
+        Ok(chunk)
     }
 
-    fn end(&mut self, whole: bool) {
-        if let Some(ended) = self.ended.take() {
-            ended(whole);
+    fn end(&mut self, complete: bool) {
+        if let Some(on_end) = self.on_end.take() {
+            on_end(complete);
         }
     }
 }
@@ -135,62 +135,63 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Guard(body) => {
-                let part = ready!(body.poll_part(cx));
-                Poll::Ready(part.map(|part| part.map(Frame::data)))
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streamed(body) => {
+                let chunk = ready!(body.poll_chunk(cx));
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Guard(body) => match body.left {
-                Some(left) => SizeHint::with_exact(left),
+            Self::Streamed(body) => match body.remaining {
+                Some(remaining) => SizeHint::with_exact(remaining),
                 None => SizeHint::default(),
             },
         }
     }
 }
 
-/// Makes an answer for a call that did not run.
+/// Creates the response to a call that did not run and may be retried.
 pub(crate) fn not_run(
     status: StatusCode,
     reason: &str,
     retry_after_ms: u32,
 ) -> Response<ResponseBody> {
-    let mut response = system_answer(status, CallOutcome::NotRun, reason);
-    set_retry(&mut response, retry_after_ms);
+    let mut response = generated_response(status, CallOutcome::NotRun, reason);
+    set_retry_after(&mut response, retry_after_ms);
     response
 }
 
-/// Makes an answer for a call that did not run, and would not if it came again.
-pub(crate) fn not_run_ever(status: StatusCode, reason: &str) -> Response<ResponseBody> {
-    system_answer(status, CallOutcome::NotRun, reason)
+/// Creates the response to a call that did not run and would not run if retried.
+pub(crate) fn not_run_permanently(status: StatusCode, reason: &str) -> Response<ResponseBody> {
+    generated_response(status, CallOutcome::NotRun, reason)
 }
 
-/// Makes an answer for a call that may have run.
+/// Creates the response to a call that may have run.
 pub(crate) fn unknown(reason: &str, retry_after_ms: Option<u32>) -> Response<ResponseBody> {
-    let mut response = system_answer(StatusCode::GATEWAY_TIMEOUT, CallOutcome::Unknown, reason);
+    let mut response =
+        generated_response(StatusCode::GATEWAY_TIMEOUT, CallOutcome::Unknown, reason);
     if let Some(retry_after_ms) = retry_after_ms {
-        set_retry(&mut response, retry_after_ms);
+        set_retry_after(&mut response, retry_after_ms);
     }
     response
 }
 
-/// Makes the answer that was recorded for an earlier call with the same key.
+/// Creates the response from the recorded answer of an earlier call with the same key.
 pub(crate) fn recorded(answer: &RecordedAnswer) -> Response<ResponseBody> {
     let Some(body) = &answer.body else {
-        // Without its body the answer must not pass for a whole one.
+        // A response without the body must not be mistaken for the original one.
         let mut response =
-            system_answer(StatusCode::CONFLICT, CallOutcome::Answered, "body_not_recorded");
+            generated_response(StatusCode::CONFLICT, CallOutcome::Answered, "body_not_recorded");
         response.headers_mut().insert(headers::RECORDED, HeaderValue::from_static("1"));
         return response;
     };
-    let mut response = Response::new(ResponseBody::Whole(Some(Bytes::copy_from_slice(body))));
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::copy_from_slice(body))));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -203,9 +204,9 @@
     response
 }
 
-/// Makes the answer that a target gave, with `body` still to come.
+/// Creates the response from a target's answer; `body` is still being streamed.
 pub(crate) fn answered(head: &AnswerHead, target: &str, body: GuardBody) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::Guard(body));
+    let mut response = Response::new(ResponseBody::Streamed(body));
     let AnswerHead::Answered { status, headers: list, .. } = head else { return response };
     *response.status_mut() =
         StatusCode::from_u16(*status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -223,9 +224,13 @@
     response
 }
 
-fn system_answer(status: StatusCode, outcome: CallOutcome, reason: &str) -> Response<ResponseBody> {
+fn generated_response(
+    status: StatusCode,
+    outcome: CallOutcome,
+    reason: &str,
+) -> Response<ResponseBody> {
     let text = format!("{{\"outcome\":\"{}\",\"reason\":\"{reason}\"}}\n", outcome.as_str());
-    let mut response = Response::new(ResponseBody::Whole(Some(Bytes::from(text))));
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(text))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(headers::OUTCOME, HeaderValue::from_static(outcome.as_str()));
@@ -236,8 +241,8 @@
     response
 }
 
-fn set_retry(response: &mut Response<ResponseBody>, retry_after_ms: u32) {
-    // The entry brings it into the form that its callers read.
+fn set_retry_after(response: &mut Response<ResponseBody>, retry_after_ms: u32) {
+    // The entry derives `Retry-After` from it and removes it where callers don't use it.
     let headers = response.headers_mut();
     headers.insert(headers::RETRY_AFTER_MS, HeaderValue::from(retry_after_ms));
 }
