--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a call at one target.
+//! One attempt of a call at one target.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,42 +18,42 @@
 use crate::base::wire::{AnswerHead, CallHead, LoadReport, RefusalReason, RevokeHead, RevokeReply};
 use crate::call::entry::EntryDuty;
 use crate::call::entry::intake::CallerCall;
-use crate::call::entry::watching;
+use crate::call::entry::load_watch;
 use crate::call::responses::{self, GuardBody, ResponseBody};
 use crate::decide::selection::TargetPlace;
 
-/// Wait told to a caller whose target could not be reached, in milliseconds.
-const UNREACHABLE_RETRY_MS: u32 = 100;
+/// Retry delay of refusals that the entry itself makes, in milliseconds.
+const ENTRY_REFUSAL_RETRY_MS: u32 = 100;
 
-/// Longest wait for a guard's answer about an earlier call.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest wait for a guard's reply to a revocation.
+const REVOKE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest body that goes out in one piece with its head, in bytes.
-const MAX_JOINED_BODY: usize = 64 << 10;
+/// Longest body that is sent in one write with its head, in bytes.
+const MAX_INLINE_BODY: usize = 64 << 10;
 
-/// Time that is left for the work, as a multiple of its usual time: hosts that
-/// are shared take about a quarter longer, and single calls spread by half.
+/// Time reserved for the work, as a multiple of its usual time: shared hosts take
+/// about a quarter longer, and the times of single calls vary by half.
 const WORK_MARGIN: f64 = 1.5;
 
-/// How a try ended.
+/// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// The target answered.
     Answered(Response<ResponseBody>),
-    /// The call did not run there.
+    /// The call did not run at the target.
     Refused { reason: RefusalReason, retry_after_ms: u32 },
-    /// The call may have run there.
+    /// The call may have run at the target.
     Lost,
-    /// Its key is claimed by an earlier call; it did not run.
+    /// An earlier call claimed the idempotency key; the call did not run.
     Claimed { row: Box<ClaimRow>, version: u64 },
 }
 
 impl AttemptEnd {
     const fn unreachable() -> Self {
-        Self::Refused { reason: RefusalReason::Unreachable, retry_after_ms: UNREACHABLE_RETRY_MS }
+        Self::Refused { reason: RefusalReason::Unreachable, retry_after_ms: ENTRY_REFUSAL_RETRY_MS }
     }
 }
 
-/// A call under way at a target; takes itself off the books when dropped.
+/// A call that counts as outstanding at its target until this is dropped.
 struct OutstandingCall {
     duty: Rc<EntryDuty>,
     service: ServiceName,
@@ -61,19 +61,19 @@
     sent: MicroTime,
     latency: Option<MicroTime>,
     failed: bool,
-    /// Whether the guard could not be reached at all.
+    /// Whether no connection to the guard could be used.
     unreachable: bool,
 }
 
 impl OutstandingCall {
-    /// Notes that the guard could not be reached at all.
-    fn lose_contact(&mut self, place: &TargetPlace) {
+    /// Records that no connection to the guard could be used.
+    fn mark_unreachable(&mut self, location: &TargetPlace) {
         self.unreachable = true;
-        self.duty.tell_unreached(&place.host);
+        self.duty.report_unreachable(&location.host);
     }
 
-    fn hear(&self, load: LoadReport) {
-        self.duty.hear_load(&self.service, &self.target, load);
+    fn update_load(&self, load: LoadReport) {
+        self.duty.update_load(&self.service, &self.target, load);
     }
 }
 
@@ -82,13 +82,13 @@
         let now = self.duty.clock.now();
         let mut registry = self.duty.registry.borrow_mut();
         if let Some(record) = registry.find(&self.service, &self.target) {
-            let before = record.ejected_until;
+            let previous = record.ejected_until;
             record.finish(now, self.latency, self.failed);
             if self.unreachable {
                 record.lose_contact(now);
             }
-            if record.ejected_until > before {
-                info!(self.duty.logger, "target left alone"; "target" => %self.target,
+            if record.ejected_until > previous {
+                info!(self.duty.logger, "target ejected"; "target" => %self.target,
                     "failures" => record.failures, "reached" => !self.unreachable,
                     "for_us" => record.ejected_until.since(now).0);
             }
@@ -96,12 +96,14 @@
     }
 }
 
-/// Tries a call at a target.
+/// Attempts a call at a target.
+///
+/// With `last`, no other target is tried afterwards.
 pub(crate) async fn run(
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     target: &TargetName,
-    place: &TargetPlace,
+    location: &TargetPlace,
     last: bool,
 ) -> AttemptEnd {
     let now = duty.clock.now();
@@ -117,25 +119,26 @@
     let left = call.deadline.since(now).duration();
     if left.is_zero() {
         let reason = RefusalReason::TooLate;
-        return AttemptEnd::Refused { reason, retry_after_ms: UNREACHABLE_RETRY_MS };
+        return AttemptEnd::Refused { reason, retry_after_ms: ENTRY_REFUSAL_RETRY_MS };
     }
     let deadline = Instant::now() + left;
-    let Some(sender) = connect(duty, place, deadline).await else {
-        outstanding.lose_contact(place);
+    let Some(sender) = connect(duty, location, deadline).await else {
+        outstanding.mark_unreachable(location);
         return AttemptEnd::unreachable();
     };
-    // Before the first report nobody could tell how long a call was on its way.
-    let mut guard_time = duty.time_at_guard(&call.service, target);
+    // Before the first load report the guard's clock is unknown, so that the guard could
+    // not tell how long the call was in transit.
+    let mut guard_time = duty.guard_time(&call.service, target);
     if guard_time.is_none() {
-        if !watching::hear_first(duty, &call.service, target, place).await {
-            outstanding.lose_contact(place);
+        if !load_watch::fetch_first_report(duty, &call.service, target, location).await {
+            outstanding.mark_unreachable(location);
             return AttemptEnd::unreachable();
         }
-        guard_time = duty.time_at_guard(&call.service, target);
+        guard_time = duty.guard_time(&call.service, target);
     }
-    watching::watch_target(duty, &call.service, target, place);
+    load_watch::watch_target(duty, &call.service, target, location);
     let left = call.deadline.since(duty.clock.now()).duration();
-    let head = make_head(duty, call, target, place, guard_time, left, last);
+    let head = make_head(duty, call, target, location, guard_time, left, last);
     let sent = timeout_at(deadline, send(sender, &head, &call.body)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -148,57 +151,57 @@
             return AttemptEnd::Lost;
         }
     };
-    let mut answer = Box::pin(read_answer(response));
-    let patience = left.saturating_sub(REVOKE_MARGIN.min(left / 4));
-    let answered = match timeout(patience, &mut answer).await {
-        Ok(answered) => answered,
+    let mut answer_future = Box::pin(read_answer(response));
+    let answer_timeout = left.saturating_sub(REVOKE_MARGIN.min(left / 4));
+    let answer = match timeout(answer_timeout, &mut answer_future).await {
+        Ok(answer) => answer,
         Err(_elapsed) => {
             let status =
-                revoke(duty, place.guard, place.incarnation, head.call, call.deadline).await;
+                revoke(duty, location.guard, location.incarnation, head.call, call.deadline).await;
             if status == Some(CallStatus::NotRun) {
                 return AttemptEnd::Refused {
                     reason: RefusalReason::Revoked,
-                    retry_after_ms: UNREACHABLE_RETRY_MS,
+                    retry_after_ms: ENTRY_REFUSAL_RETRY_MS,
                 };
             }
             if status.is_none() {
-                // Neither the call nor the question got an answer: it may be the
-                // connection alone that fell silent.
-                duty.pool.forget(place.guard, place.incarnation);
-                duty.tell_unreached(&place.host);
-                info!(duty.logger, "guard silent"; "id" => &*call.id, "at" => %place.host);
+                // Neither the call nor the revocation was answered; the connection may
+                // be dead while the guard is not.
+                duty.pool.forget(location.guard, location.incarnation);
+                duty.report_unreachable(&location.host);
+                info!(duty.logger, "guard not responding"; "id" => &*call.id, "at" => %location.host);
             }
-            let Ok(answered) = timeout_at(deadline, &mut answer).await else {
+            let Ok(answer) = timeout_at(deadline, &mut answer_future).await else {
                 outstanding.failed = status.is_none();
                 return AttemptEnd::Lost;
             };
-            answered
+            answer
         }
     };
-    if let Some((answer, reader)) = answered {
+    if let Some((answer, reader)) = answer {
         if let AnswerHead::Answered { status, length, work_us, .. } = &answer
             && *status < 400
         {
             let bytes = call.body.len() as u64 + length.unwrap_or_default();
-            duty.route_book.borrow_mut().note(&call.terms.kind, *work_us, bytes);
+            duty.route_stats.borrow_mut().record(&call.terms.kind, *work_us, bytes);
         }
         if let AnswerHead::Refused { suspect, .. } | AnswerHead::Lost { suspect, .. } = &answer {
-            duty.learn_suspect(call, *suspect);
+            duty.merge_suspect(call, *suspect);
         }
-        return conclude(outstanding, head.call, &answer, reader);
+        return end_attempt(outstanding, head.call, &answer, reader);
     }
-    // The connection broke, as those to a host that is gone do after a while.
+    // The connection broke, as it does some time after its host is gone.
     outstanding.failed = true;
-    duty.tell_unreached(&place.host);
+    duty.report_unreachable(&location.host);
     AttemptEnd::Lost
 }
 
 /// Returns how long a call may still wait for a slot.
 ///
-/// As long as it is likely to be in time if it starts then; once it isn't, it is
-/// refused, while another target or a later try may serve it. A call without an
-/// objective of its own waits to its deadline.
-fn patience(call: &CallerCall, work_us: f64, now: MicroTime) -> MicroTime {
+/// The call is refused once it would probably miss its latency objective, while another
+/// target or a later attempt may still serve it. A call without an objective shorter than
+/// its deadline may wait until the deadline.
+fn max_wait(call: &CallerCall, work_us: f64, now: MicroTime) -> MicroTime {
     if call.terms.objective_ms >= call.terms.deadline_ms {
         return call.deadline.since(now);
     }
@@ -209,18 +212,18 @@
     duty: &EntryDuty,
     call: &CallerCall,
     target: &TargetName,
-    place: &TargetPlace,
+    location: &TargetPlace,
     sent: Option<MicroTime>,
     left: Duration,
     last: bool,
 ) -> CallHead {
-    let work_us = duty.route_book.borrow().work_us(&call.terms);
-    let patience_ms = patience(call, work_us, duty.clock.now()).ceil_millis() as u32;
+    let work_us = duty.route_stats.borrow().work_us(&call.terms);
+    let patience_ms = max_wait(call, work_us, duty.clock.now()).ceil_millis() as u32;
     CallHead {
         call: CallId::random(),
         digest: call.digest,
-        suspect: duty.standing(call),
-        incarnation: place.incarnation,
+        suspect: duty.suspect_record(call),
+        incarnation: location.incarnation,
         service: call.service.clone(),
         target: target.clone(),
         account: call.account.clone(),
@@ -242,46 +245,46 @@
 
 async fn connect(
     duty: &EntryDuty,
-    place: &TargetPlace,
+    location: &TargetPlace,
     deadline: Instant,
 ) -> Option<SendRequest<Bytes>> {
-    let connecting = duty.pool.connect(place.guard, place.incarnation);
+    let connecting = duty.pool.connect(location.guard, location.incarnation);
     timeout_at(deadline, connecting).await.ok()?
 }
 
-/// How sending failed.
+/// How sending a call failed.
 enum SendFailure {
-    /// The guard can't have the whole call, so it can't run it.
+    /// The guard did not receive the whole call, so it can't run it.
     NotSent,
-    /// The guard may have the whole call.
+    /// The guard may have received the whole call.
     MaybeSent,
 }
 
-/// Sends a call; the last byte decides whether a guard could run it.
+/// Sends a call; a guard can run it only once it has received the last byte.
 async fn send(
     mut sender: SendRequest<Bytes>,
     head: &CallHead,
     body: &Bytes,
 ) -> Result<ResponseFuture, SendFailure> {
-    let together = body.len() <= MAX_JOINED_BODY;
-    let start = if together { body.as_ref() } else { &[] };
-    let framed = h2io::frame_with(head, start).map_err(|_too_long| SendFailure::NotSent)?;
+    let inline = body.len() <= MAX_INLINE_BODY;
+    let first_part = if inline { body.as_ref() } else { &[] };
+    let framed = h2io::frame_with(head, first_part).map_err(|_too_long| SendFailure::NotSent)?;
     let request = Request::post("http://guard/call").body(());
     let request = request.map_err(|_never| SendFailure::NotSent)?;
     let sent = sender.send_request(request, false).map_err(|_closed| SendFailure::NotSent);
     let (response, mut stream) = sent?;
-    let first = h2io::send_all(&mut stream, framed, together).await;
-    if together {
-        first.map_err(|_broken| SendFailure::MaybeSent)?;
+    let first_sent = h2io::send_all(&mut stream, framed, inline).await;
+    if inline {
+        first_sent.map_err(|_broken| SendFailure::MaybeSent)?;
         return Ok(response);
     }
-    first.map_err(|_broken| SendFailure::NotSent)?;
-    let rest = h2io::send_all(&mut stream, body.clone(), true).await;
-    rest.map_err(|_broken| SendFailure::MaybeSent)?;
+    first_sent.map_err(|_broken| SendFailure::NotSent)?;
+    let rest_sent = h2io::send_all(&mut stream, body.clone(), true).await;
+    rest_sent.map_err(|_broken| SendFailure::MaybeSent)?;
     Ok(response)
 }
 
-/// Reads the answer's head; nothing if the stream broke.
+/// Reads the head of a guard's answer; returns `None` if the stream broke.
 async fn read_answer(response: ResponseFuture) -> Option<(AnswerHead, HeadReader)> {
     let response = response.await.ok()?;
     let mut reader = HeadReader::open(response.into_body());
@@ -289,8 +292,8 @@
     Some((head, reader))
 }
 
-/// Turns a guard's answer into the end of the try.
-fn conclude(
+/// Converts a guard's answer to the end of the attempt.
+fn end_attempt(
     mut outstanding: OutstandingCall,
     call: CallId,
     answer: &AnswerHead,
@@ -298,34 +301,34 @@
 ) -> AttemptEnd {
     let latency = outstanding.duty.clock.now().since(outstanding.sent);
     match answer {
-        AnswerHead::Answered { call: own, .. }
-        | AnswerHead::Refused { call: own, .. }
-        | AnswerHead::Lost { call: own, .. }
-        | AnswerHead::Claimed { call: own, .. }
-            if *own != call =>
+        AnswerHead::Answered { call: echoed, .. }
+        | AnswerHead::Refused { call: echoed, .. }
+        | AnswerHead::Lost { call: echoed, .. }
+        | AnswerHead::Claimed { call: echoed, .. }
+            if *echoed != call =>
         {
             outstanding.failed = true;
             AttemptEnd::Lost
         }
         AnswerHead::Answered { status, length, load, .. } => {
-            outstanding.hear(*load);
+            outstanding.update_load(*load);
             outstanding.failed = *status >= 500;
             outstanding.latency = Some(latency);
-            let (rest, stream) = reader.into_rest();
+            let (buffered, stream) = reader.into_rest();
             let target = outstanding.target.to_string();
             let length = *length;
-            let ended = Box::new(move |_whole| drop(outstanding));
-            let body = GuardBody::open(rest, stream, length, ended);
+            let on_end = Box::new(move |_complete| drop(outstanding));
+            let body = GuardBody::open(buffered, stream, length, on_end);
             AttemptEnd::Answered(responses::answered(answer, &target, body))
         }
         AnswerHead::Refused { reason, retry_after_ms, load, .. } => {
-            outstanding.hear(*load);
+            outstanding.update_load(*load);
             let gone = matches!(reason, RefusalReason::Unreachable | RefusalReason::Absent);
             outstanding.failed = gone || *reason == RefusalReason::Leaving;
             AttemptEnd::Refused { reason: *reason, retry_after_ms: *retry_after_ms }
         }
         AnswerHead::Lost { load, .. } => {
-            outstanding.hear(*load);
+            outstanding.update_load(*load);
             outstanding.failed = true;
             AttemptEnd::Lost
         }
@@ -335,7 +338,8 @@
     }
 }
 
-/// Asks a guard to make sure that a call never runs; nothing if it is silent.
+/// Asks a guard to ensure that a call never runs; returns the call's status, or `None` if
+/// the guard does not respond in time.
 pub(crate) async fn revoke(
     duty: &EntryDuty,
     guard: SocketAddr,
@@ -343,19 +347,19 @@
     call: CallId,
     deadline: MicroTime,
 ) -> Option<CallStatus> {
-    let left = deadline.since(duty.clock.now()).duration().min(SETTLE_TIMEOUT);
-    let asked = ask_status(duty, guard, incarnation, call);
-    timeout(left, asked).await.ok()?
+    let left = deadline.since(duty.clock.now()).duration().min(REVOKE_TIMEOUT);
+    let status = request_revocation(duty, guard, incarnation, call);
+    timeout(left, status).await.ok()?
 }
 
-async fn ask_status(
+async fn request_revocation(
     duty: &EntryDuty,
     guard: SocketAddr,
     incarnation: DaemonIncarnation,
     call: CallId,
 ) -> Option<CallStatus> {
     let head = RevokeHead { call, incarnation };
-    let mut reader = duty.pool.ask(guard, incarnation, "/revoke", &head).await?;
+    let mut reader = duty.pool.request(guard, incarnation, "/revoke", &head).await?;
     let reply: RevokeReply = reader.head().await.ok()?;
     Some(reply.status)
 }
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -1,4 +1,4 @@
-//! A second try beside a slow first one, for calls that may run twice.
+//! Hedging: a second attempt beside a slow first one, for calls that may run twice.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -16,23 +16,24 @@
 use crate::decide::retry::{CallCourse, RetryBudget, hedge_after};
 use crate::rules::terms::HedgeRule;
 
-/// How much longer than usual a try may take before it is hedged.
-const USUAL_FACTOR: f64 = 1.5;
+/// Multiple of its usual time after which an attempt is overdue and is hedged.
+const OVERDUE_FACTOR: f64 = 1.5;
 
-/// Time between two looks at a try that has not ended: a part of the time for
+/// Interval at which the progress of an attempt is checked: a fraction of the time for
 /// which a host stays slow.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Least time before a hedge; shorter calls gain nothing over the network.
-const LEAST_PATIENCE: MicroTime = MicroTime::from_millis(15);
+/// Shortest time after which an attempt is overdue; hedging shorter calls gains nothing
+/// because of the network delay.
+const MIN_OVERDUE_TIME: MicroTime = MicroTime::from_millis(15);
 
-/// Tries a call at a target, and at a second one if the first is slow.
+/// Attempts a call at a target, and at a second one if the first is slow.
 ///
-/// Of a client account's calls only kinds whose template says so are hedged: a
-/// call that makes calls of its own would double them all, at every level. Reads
-/// of a route are, within the budget of all further tries. The first answer
-/// holds; the other try is cancelled. `tried` gets the second target. A last try,
-/// and a call that must not repeat, is never hedged.
+/// Calls of a client account are hedged only if the template of their kind allows it,
+/// since hedging a call that makes further calls would double those at every level.
+/// Routed reads are always hedged, within the service's retry budget. The first answer
+/// is used and the other attempt is cancelled. The second target is added to `tried`. The
+/// last attempt, and a call that must not run twice, is never hedged.
 pub(crate) async fn run(
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
@@ -41,94 +42,97 @@
     last: bool,
     tried: &mut Vec<TargetName>,
 ) -> AttemptEnd {
-    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.place, last));
-    // Of a request that may end its target, one copy is enough.
-    let alone = last || duty.standing(call).is_suspected();
-    if alone || call.terms.hedge == HedgeRule::Never || !course.may_try_beside() {
+    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last));
+    // A request that may crash its target must not run at two targets.
+    let single = last || duty.suspect_record(call).is_suspected();
+    if single || call.terms.hedge == HedgeRule::Never || !course.may_try_beside() {
         return first.await;
     }
-    let mut progress = TryProgress::open(duty, call);
+    let mut progress = AttemptProgress::open(duty, call);
     let second = loop {
         if let Some(end) = wait_for_first(duty, call, chosen, &mut progress, &mut first).await {
             return end;
         }
-        if duty.standing(call).is_suspected() {
+        if duty.suspect_record(call).is_suspected() {
             return first.await;
         }
-        if let Some(second) = choose_second(duty, call, tried) {
+        if let Some(second) = choose_hedge_target(duty, call, tried) {
             break second;
         }
         if call.terms.hedge == HedgeRule::BesideSlow {
             return first.await;
         }
-        // No target would be in time now; one may be at the next look.
+        // No other target would be in time now; one may be at the next check.
     };
     course.try_beside();
-    let last = second.others == 0;
-    let second = pin!(attempt::run(duty, call, &second.name, &second.place, last));
+    let last = second.untried == 0;
+    let second = pin!(attempt::run(duty, call, &second.name, &second.location, last));
     match select(first, second).await {
-        Either::Left((end, second)) => take_better(end, second).await,
-        Either::Right((end, first)) => take_better(end, first).await,
+        Either::Left((end, second)) => prefer_answer(end, second).await,
+        Either::Right((end, first)) => prefer_answer(end, first).await,
     }
 }
 
-/// Waits for the first try; nothing once a second one should start beside it.
+/// Waits for the first attempt; returns `None` once a second one should start beside it.
 async fn wait_for_first(
     duty: &EntryDuty,
     call: &CallerCall,
     chosen: &ChosenTarget,
-    progress: &mut TryProgress,
+    progress: &mut AttemptProgress,
     first: &mut Pin<&mut impl Future<Output = AttemptEnd>>,
 ) -> Option<AttemptEnd> {
     if call.terms.hedge == HedgeRule::BesideSlow {
-        let patience = hedge_after(chosen.service_us).duration();
-        return timeout(patience, first.as_mut()).await.ok();
+        let hedge_delay = hedge_after(chosen.service_us).duration();
+        return timeout(hedge_delay, first.as_mut()).await.ok();
     }
     loop {
-        if let Ok(end) = timeout(LOOK_EVERY, first.as_mut()).await {
+        if let Ok(end) = timeout(CHECK_INTERVAL, first.as_mut()).await {
             return Some(end);
         }
         let now = duty.clock.now();
         let slowness = duty.slowness_of(&call.service, &chosen.name);
-        let late = progress.step(now, slowness) > call.objective();
+        let late = progress.advance(now, slowness) > call.objective();
         if late || progress.is_overdue(now) {
             return None;
         }
     }
 }
 
-/// How far a try has come, as far as its target's speed tells.
-struct TryProgress {
+/// Progress of an attempt, estimated from its target's speed.
+struct AttemptProgress {
+    /// Usual time of the work, in microseconds.
     work_us: f64,
+    /// Part of the work that is estimated to be done, in microseconds at usual speed.
     done_us: f64,
-    since: MicroTime,
-    looked: MicroTime,
+    started: MicroTime,
+    checked: MicroTime,
 }
 
-impl TryProgress {
+impl AttemptProgress {
     fn open(duty: &EntryDuty, call: &CallerCall) -> Self {
-        let work_us = duty.route_book.borrow().work_us(&call.terms);
+        let work_us = duty.route_stats.borrow().work_us(&call.terms);
         let now = duty.clock.now();
-        Self { work_us, done_us: 0.0, since: now, looked: now }
+        Self { work_us, done_us: 0.0, started: now, checked: now }
     }
 
-    /// Takes the slowness since the last look, as a factor; returns when the try
-    /// is expected to end if it stays like that.
-    fn step(&mut self, now: MicroTime, slowness: f64) -> MicroTime {
-        self.done_us += now.since(self.looked).0 as f64 / slowness;
-        self.looked = now;
+    /// Accounts for the time since the last check at the given slowness, a factor; returns
+    /// when the attempt will end if the slowness stays the same.
+    fn advance(&mut self, now: MicroTime, slowness: f64) -> MicroTime {
+        self.done_us += now.since(self.checked).0 as f64 / slowness;
+        self.checked = now;
         let left = (self.work_us - self.done_us).max(0.0) * slowness;
         now + MicroTime(left as u64)
     }
 
-    /// Tells whether a try takes longer than usual, for whatever reason.
+    /// Returns whether the attempt takes longer than usual, for whatever reason.
     fn is_overdue(&self, now: MicroTime) -> bool {
-        let usual = MicroTime((self.work_us * USUAL_FACTOR) as u64).max(LEAST_PATIENCE);
-        now.since(self.since) > usual
+        let usual = MicroTime((self.work_us * OVERDUE_FACTOR) as u64).max(MIN_OVERDUE_TIME);
+        now.since(self.started) > usual
     }
 }
 
-fn choose_second(
+/// Chooses the target of a second attempt, if a budget grants one.
+fn choose_hedge_target(
     duty: &EntryDuty,
     call: &CallerCall,
     tried: &mut Vec<TargetName>,
@@ -137,7 +141,8 @@
         HedgeRule::Never => false,
         HedgeRule::BesideSlow => duty.hedge_budget.borrow_mut().take(),
         HedgeRule::WithinObjective => {
-            duty.can_be_in_time(call, tried) && duty.with_budget(&call.service, RetryBudget::take)
+            duty.can_be_in_time(call, tried)
+                && duty.with_retry_budget(&call.service, RetryBudget::take)
         }
     };
     if !granted {
@@ -150,15 +155,15 @@
     Some(second)
 }
 
-/// Takes the end of one try if it is an answer, otherwise waits for the other.
-async fn take_better(end: AttemptEnd, other: impl Future<Output = AttemptEnd>) -> AttemptEnd {
+/// Returns the end of one attempt if it is an answer, otherwise waits for the other.
+async fn prefer_answer(end: AttemptEnd, other: impl Future<Output = AttemptEnd>) -> AttemptEnd {
     if matches!(end, AttemptEnd::Answered(_)) {
         return end;
     }
     let lost = matches!(end, AttemptEnd::Lost);
     match other.await {
         answered @ AttemptEnd::Answered(_) => answered,
-        // A try that may have run is not undone by one that did not.
+        // An attempt that may have run outweighs one that did not run.
         _ if lost => AttemptEnd::Lost,
         end => end,
     }
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: where it goes, and on which terms.
+//! Reading and checking of a caller's request: its service, terms and account.
 
 use std::sync::Arc;
 
@@ -25,24 +25,25 @@
 use crate::rules::route::RouteRule;
 use crate::rules::terms::CallTerms;
 
-/// When to come back to a daemon that is not ready, in milliseconds.
+/// Retry delay while the daemon or the service is not ready, in milliseconds.
 pub(crate) const NOT_READY_RETRY_MS: u32 = 500;
 
-/// Longest body of a deployment that sets no limit, in bytes.
-const MAX_ROUTED_BODY: u64 = 64 << 20;
+/// Longest body of a routed call if the configuration sets no limit, in bytes.
+const DEFAULT_MAX_BODY: u64 = 64 << 20;
 
-/// Account of calls that name none.
+/// Account name of calls without an account.
 const NO_ACCOUNT: &str = "";
 
-/// One call as its caller made it.
+/// A call as received from its caller.
 #[derive(Debug)]
 pub(crate) struct CallerCall {
-    /// The caller's id of the request; empty where callers give none.
+    /// Request id that the caller set, or empty.
     pub(crate) id: Arc<str>,
-    /// The same for each attempt at the same request, at any host.
+    /// Digest of the request; the same whenever and wherever the request is sent again.
     pub(crate) digest: RequestDigest,
     pub(crate) service: ServiceName,
     pub(crate) account: AccountName,
+    /// The account's share of a busy target, relative to other accounts.
     pub(crate) share: u16,
     pub(crate) policy: &'static SelectionPolicy,
     pub(crate) terms: CallTerms,
@@ -52,17 +53,18 @@
     pub(crate) body: Bytes,
     pub(crate) arrived: MicroTime,
     pub(crate) deadline: MicroTime,
+    /// Claim of the idempotency key, for a call that must not run twice.
     pub(crate) claim: Option<KeyClaim>,
 }
 
 impl CallerCall {
-    /// Returns when the latency objective ends.
+    /// Returns the time by which an answer meets the latency objective.
     pub(crate) fn objective(&self) -> MicroTime {
         self.arrived + MicroTime::from_millis(u64::from(self.terms.objective_ms))
     }
 }
 
-/// Reads and checks a call; `Err` is the answer to a bad one.
+/// Reads and checks a call; `Err` is the response to a rejected one.
 pub(crate) async fn receive(
     duty: &EntryDuty,
     request: Request<Incoming>,
@@ -74,14 +76,14 @@
         responses::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
     })?;
     if duty.names.railspan_headers {
-        receive_of_account(duty, &config, arrived, &parts, body).await
+        receive_account_call(duty, &config, arrived, &parts, body).await
     } else {
-        receive_routed(duty, &config, arrived, &parts, body, id).await
+        receive_routed_call(duty, &config, arrived, &parts, body, id).await
     }
 }
 
-/// Reads a call that goes by its host and path.
-async fn receive_routed(
+/// Reads a call that is routed by its host and path.
+async fn receive_routed_call(
     duty: &EntryDuty,
     config: &FleetConfig,
     arrived: MicroTime,
@@ -94,11 +96,11 @@
     let host = host.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str));
     let route = config.route(host.unwrap_or_default(), parts.uri.path());
     let route = route.ok_or_else(|| responses::not_run(StatusCode::NOT_FOUND, "no_route", 0))?;
-    let asked_ms = headers::get_str(&parts.headers, names.deadline_ms);
-    let account = account_of(config, route, &parts.headers)
+    let deadline_ms = headers::get_str(&parts.headers, names.deadline_ms);
+    let account = authenticate_routed(config, route, &parts.headers)
         .map_err(|UnknownToken| responses::not_run(StatusCode::UNAUTHORIZED, "no_account", 0))?;
     let rank = account.and_then(|account| account.rank);
-    let terms = route.terms(asked_ms.and_then(|text| text.trim().parse().ok()), rank);
+    let terms = route.terms(deadline_ms.and_then(|text| text.trim().parse().ok()), rank);
     let mut forwarded = headers::forward_request_headers(&parts.headers, names);
     if !config.accounts.is_empty() {
         forwarded.retain(|(name, _)| name != AUTHORIZATION.as_str());
@@ -110,7 +112,7 @@
         forwarded.push((name.to_owned(), service.as_str().as_bytes().to_vec()));
     }
     let deadline = arrived + MicroTime::from_millis(u64::from(terms.deadline_ms));
-    let limit = config.limits.body_bytes.unwrap_or(MAX_ROUTED_BODY);
+    let limit = config.limits.body_bytes.unwrap_or(DEFAULT_MAX_BODY);
     let service = route.draw(&mut duty.rng.borrow_mut()).clone();
     let body = read_body(body, &parts.headers, limit as usize).await?;
     if let Some(account) = account {
@@ -120,7 +122,13 @@
     let host = host.unwrap_or_default().to_ascii_lowercase();
     Ok(CallerCall {
         id: Arc::clone(id),
-        digest: digest_of(account_name, &host, parts.method.as_str(), path_and_query(parts), &body),
+        digest: digest_request(
+            account_name,
+            &host,
+            parts.method.as_str(),
+            path_and_query(parts),
+            &body,
+        ),
         service,
         account: AccountName::from(NO_ACCOUNT),
         share: 1,
@@ -137,7 +145,7 @@
 }
 
 /// Reads a call of a client account, which names its service in the path.
-async fn receive_of_account(
+async fn receive_account_call(
     duty: &EntryDuty,
     config: &FleetConfig,
     arrived: MicroTime,
@@ -145,21 +153,21 @@
     body: Incoming,
 ) -> Result<CallerCall, Response<ResponseBody>> {
     let refuse = |status, reason| responses::not_run(status, reason, 0);
-    let account = bearer(&parts.headers).and_then(|token| config.account(token));
+    let account = bearer_token(&parts.headers).and_then(|token| config.account(token));
     let account = account.ok_or_else(|| refuse(StatusCode::UNAUTHORIZED, "no_account"))?;
     let (service, path) = split_path(path_and_query(parts));
     let service = config.service(service);
     let service = service.ok_or_else(|| refuse(StatusCode::NOT_FOUND, "no_service"))?;
     let terms = config.terms(service, account, parts.method.as_str(), &path);
-    let deadline_ms = deadline_of(&parts.headers, terms.deadline_ms)
+    let deadline_ms = parse_deadline(&parts.headers, terms.deadline_ms)
         .ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "bad_deadline"))?;
     let deadline = arrived + MicroTime::from_millis(u64::from(deadline_ms));
     let body = read_body(body, &parts.headers, MAX_REQUEST_BODY).await?;
     duty.admit(account, "").await?;
-    let (account_name, place) = (account.name.as_str(), service.name.as_str());
+    let (account_name, service_name) = (account.name.as_str(), service.name.as_str());
     let mut call = CallerCall {
         id: Arc::from(""),
-        digest: digest_of(account_name, place, parts.method.as_str(), &path, &body),
+        digest: digest_request(account_name, service_name, parts.method.as_str(), &path, &body),
         service: service.name.clone(),
         account: account.name.clone(),
         share: account.share,
@@ -181,13 +189,17 @@
     Ok(call)
 }
 
-/// A token that is no account's.
+/// A token that belongs to no account.
 struct UnknownToken;
 
-/// Returns the account whose token a routed request bears; calls of targets bear none.
+/// Returns the account of a routed request's token, or `None` if the request has no token
+/// or needs none; calls from targets have none.
 ///
-/// A token that no account has is refused, wherever one is wanted.
-fn account_of<'a>(
+/// # Errors
+///
+/// Returns an error if the route requires a valid token and the request's belongs to no
+/// account.
+fn authenticate_routed<'a>(
     config: &'a FleetConfig,
     route: &RouteRule,
     headers: &HeaderMap,
@@ -195,7 +207,7 @@
     if route.open || config.accounts.is_empty() || !headers.contains_key(AUTHORIZATION) {
         return Ok(None);
     }
-    let account = bearer(headers).and_then(|token| config.account(token));
+    let account = bearer_token(headers).and_then(|token| config.account(token));
     account.map(Some).ok_or(UnknownToken)
 }
 
@@ -203,7 +215,7 @@
     parts.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str)
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&[u8]> {
+fn bearer_token(headers: &HeaderMap) -> Option<&[u8]> {
     let value = headers.get(AUTHORIZATION)?.as_bytes();
     value.strip_prefix(b"Bearer ")
 }
@@ -222,11 +234,12 @@
     (service, format!("{slash}{rest}"))
 }
 
-/// Returns the time a call has, or nothing if its header can't be read.
-fn deadline_of(headers: &HeaderMap, default_ms: u32) -> Option<u32> {
+/// Returns the time that a call has, in milliseconds, or `None` if its deadline header is
+/// invalid.
+fn parse_deadline(headers: &HeaderMap, default_ms: u32) -> Option<u32> {
     let Some(value) = headers.get(headers::DEADLINE_MS) else { return Some(default_ms) };
-    let asked: u32 = value.to_str().ok()?.parse().ok()?;
-    Some(asked.min(MAX_DEADLINE_MS))
+    let deadline_ms: u32 = value.to_str().ok()?.parse().ok()?;
+    Some(deadline_ms.min(MAX_DEADLINE_MS))
 }
 
 async fn read_body(
@@ -236,7 +249,7 @@
 ) -> Result<Bytes, Response<ResponseBody>> {
     let refuse = |status, reason| {
         let mut response = responses::not_run(status, reason, 0);
-        // The rest of the body stays unread: nothing may follow it.
+        // The rest of the body is not read, so the connection can't be used again.
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
         response
@@ -256,7 +269,7 @@
     }
 }
 
-/// Derives the claim row of a call, which no other account can name.
+/// Derives the claim of a call's idempotency key; no other account can name its row.
 fn make_claim(call: &CallerCall, key: &[u8]) -> KeyClaim {
     let row =
         hash_parts(&[call.account.as_str().as_bytes(), call.service.as_str().as_bytes(), key]);
@@ -264,9 +277,15 @@
     KeyClaim { row: format!("claim-{}", row.to_hex()), print: print.to_string(), takeover: None }
 }
 
-/// Digests a request; `place` is the host name that it asks, or the service.
-fn digest_of(account: &str, place: &str, method: &str, path: &str, body: &[u8]) -> RequestDigest {
-    let texts = [account, place, method, path].map(str::as_bytes);
-    let [account, place, method, path] = texts;
-    RequestDigest::of(&[account, place, method, path, body])
+/// Digests a request; `destination` is its `Host` header, or its service.
+fn digest_request(
+    account: &str,
+    destination: &str,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> RequestDigest {
+    let texts = [account, destination, method, path].map(str::as_bytes);
+    let [account, destination, method, path] = texts;
+    RequestDigest::of(&[account, destination, method, path, body])
 }
--- a/src/call/entry/measure.rs
+++ b/src/call/entry/load_probe.rs
@@ -1,4 +1,4 @@
-//! Measuring messages of an entry: sent within the budget, heard at leisure.
+//! Load probes: datagrams that ask guards for the load of a target, within a budget.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 use crate::base::wire::{self, GuardDatagram, GuardReply, ProbeRequest};
 use crate::call::entry::EntryDuty;
 
-/// Bytes that a reply is longer than its request, at most.
-const REPLY_EXTRA: u32 = 32;
+/// Largest number of bytes by which a reply exceeds its request.
+const MAX_REPLY_EXCESS: u32 = 32;
 
-/// Asks one target of the service for its load, if the budget allows.
-pub(crate) fn probe_some(duty: &EntryDuty, service: &ServiceName) {
+/// Probes the load of a random target of the service, if the budget allows it.
+pub(crate) fn probe_random_target(duty: &EntryDuty, service: &ServiceName) {
     if duty.probe_budget.borrow().is_zero() {
         return;
     }
@@ -25,33 +25,34 @@
         return;
     }
     let record = &targets[duty.rng.borrow_mut().random_range(0..targets.len())];
-    let Some(place) = &record.place else { return };
+    let Some(location) = &record.place else { return };
     let request = ProbeRequest {
-        incarnation: place.incarnation,
+        incarnation: location.incarnation,
         service: service.clone(),
         target: record.name.clone(),
     };
     let Ok(bytes) = wire::encode(&GuardDatagram::Probe(request)) else { return };
-    let cost = bytes.len() as u32 * 2 + REPLY_EXTRA;
+    let cost = bytes.len() as u32 * 2 + MAX_REPLY_EXCESS;
     if !duty.probe_budget.borrow_mut().take(duty.clock.now(), 2, cost) {
         return;
     }
-    if duty.probe_socket.try_send_to(&bytes, place.guard).is_ok() {
+    if duty.probe_socket.try_send_to(&bytes, location.guard).is_ok() {
         duty.metrics.probe_messages.inc_by(2);
         duty.metrics.probe_bytes.inc_by(u64::from(cost));
     }
 }
 
-/// Takes over what guards answer to datagrams, until the runtime ends.
-pub(crate) async fn hear_replies(duty: Rc<EntryDuty>) {
+/// Processes the replies of guards to load probes and quota requests, until the runtime
+/// ends.
+pub(crate) async fn receive_replies(duty: Rc<EntryDuty>) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         let Ok((length, _)) = duty.probe_socket.recv_from(&mut buffer).await else { continue };
         match wire::decode(&buffer[..length]) {
             Ok(GuardReply::Probe(reply)) => {
-                duty.hear_load(&reply.service, &reply.target, reply.load);
+                duty.update_load(&reply.service, &reply.target, reply.load);
             }
-            Ok(GuardReply::Quota(reply)) => duty.quotas.hear(reply),
+            Ok(GuardReply::Quota(reply)) => duty.quotas.deliver(reply),
             Err(_malformed) => {}
         }
     }
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -1,16 +1,16 @@
-//! The duty that takes calls and chooses targets for them.
+//! The entry duty: accepts calls from callers and sends each to a target's guard.
 
 mod attempt;
 mod hedge;
 mod intake;
-mod measure;
+mod load_probe;
+mod load_watch;
 mod pool;
 mod quota;
-mod route_book;
+mod route_stats;
 mod routing;
 mod serving;
 mod suspects;
-mod watching;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -32,7 +32,7 @@
 use crate::base::wire::LoadReport;
 use crate::call::entry::pool::GuardPool;
 use crate::call::entry::quota::EntryQuotas;
-use crate::call::entry::route_book::RouteBook;
+use crate::call::entry::route_stats::RouteStats;
 use crate::call::headers::HeaderNames;
 use crate::decide::benefit;
 use crate::decide::crash_book::CrashBook;
@@ -48,13 +48,13 @@
 
 pub(crate) use routing::ChosenTarget;
 
-/// The state that this duty's tasks share.
+/// State that the tasks of the entry duty share.
 pub(crate) struct EntryDuty {
     pub(crate) clock: ProcessClock,
     pub(crate) registry: RefCell<TargetRegistry>,
-    /// The newest view of the fleet that the registry was made of.
+    /// Newest fleet view, which the registry was built from.
     view: RefCell<Arc<FleetView>>,
-    /// Data centres whose targets get no calls.
+    /// Data centres whose targets receive no calls.
     evacuated: RefCell<BTreeSet<CentreName>>,
     pub(crate) pool: GuardPool,
     pub(crate) metrics: Arc<DaemonMetrics>,
@@ -62,40 +62,42 @@
     pub(crate) probe_socket: UdpSocket,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) hedge_budget: RefCell<RetryBudget>,
-    /// What this daemon may add to a service's calls.
+    /// Attempts that this daemon may add to the calls of each service.
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     retry_share: Cell<RetryShare>,
-    /// The most daemons that were ever in the fleet's view.
-    fleet_size: Cell<usize>,
-    /// What was granted of accounts' quotas.
+    /// Largest number of serving daemons in any fleet view so far.
+    max_fleet_size: Cell<usize>,
+    /// Granted quota of client accounts.
     quotas: EntryQuotas,
-    /// At which of several holders of a quota this entry begins.
-    quota_turn: usize,
-    /// Requests that are suspected of ending targets.
+    /// Selects which of an account's quota holders this entry asks first.
+    holder_offset: usize,
+    /// Requests that are suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashBook>,
     pub(crate) names: &'static HeaderNames,
     data_centre: CentreName,
-    /// What a thousand bytes between data centres cost, in benefits of a call.
+    /// Cost of sending 1000 bytes between data centres, as a fraction of one call's
+    /// benefit.
     crossing_cost: f64,
-    /// Times and sizes of calls, by route.
-    pub(crate) route_book: RefCell<RouteBook>,
-    /// Targets whose load this entry is told.
-    pub(crate) watched: Cell<usize>,
-    /// The service of the host's target.
+    /// Work times and sizes of calls, by route.
+    pub(crate) route_stats: RefCell<RouteStats>,
+    /// Number of targets whose load reports are streamed to this entry.
+    pub(crate) watch_count: Cell<usize>,
+    /// Service of the target on this host, in a deployment.
     pub(crate) own_service: Option<ServiceName>,
     peers: RingSender<PeersEvent>,
     readiness: DaemonReadiness,
-    /// Set once callers are asked to go elsewhere.
+    /// Whether callers are asked to use another daemon.
     withdrawn: Cell<bool>,
     active: RefCell<Option<ActiveRevision>>,
+    /// Oldest revision that calls may be served by; `None` until the peers were asked.
     least_revision: RefCell<Option<u64>>,
-    /// Connections of callers.
-    open: watch::Sender<usize>,
+    /// Number of open connections from callers.
+    caller_connections: watch::Sender<usize>,
     stopping: watch::Sender<bool>,
     pub(crate) logger: Logger,
 }
 
-/// What the duty needs to run.
+/// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct EntryParts {
     pub(crate) seed: u64,
@@ -112,7 +114,7 @@
     pub(crate) probe_socket: std::net::UdpSocket,
 }
 
-/// Runs the duty until the thread's runtime ends.
+/// Runs the entry duty until the runtime of its thread ends.
 pub(crate) async fn run(
     parts: EntryParts,
     mut inbox: RingInbox<EntryEvent>,
@@ -135,28 +137,28 @@
         hedge_budget: RefCell::new(RetryBudget::open_hedges()),
         retry_budgets: RefCell::default(),
         retry_share: Cell::new(parts.retry_share),
-        fleet_size: Cell::new(1),
+        max_fleet_size: Cell::new(1),
         quotas: EntryQuotas::default(),
-        quota_turn: parts.seed as usize,
+        holder_offset: parts.seed as usize,
         suspects: RefCell::default(),
         names: parts.names,
         data_centre: parts.data_centre,
         crossing_cost: parts.crossing_cost,
-        route_book: RefCell::default(),
-        watched: Cell::new(0),
+        route_stats: RefCell::default(),
+        watch_count: Cell::new(0),
         own_service: parts.own_service,
         readiness: parts.readiness,
         peers: parts.peers,
         withdrawn: Cell::new(false),
         active: RefCell::default(),
         least_revision: RefCell::default(),
-        open: watch::Sender::new(0),
+        caller_connections: watch::Sender::new(0),
         stopping: watch::Sender::new(false),
         logger,
     });
     duty.quotas.set_terms(parts.quota_terms);
     spawn_local(Rc::clone(&duty).accept(listener));
-    spawn_local(crate::call::entry::measure::hear_replies(Rc::clone(&duty)));
+    spawn_local(crate::call::entry::load_probe::receive_replies(Rc::clone(&duty)));
     loop {
         duty.handle(inbox.next().await);
     }
@@ -166,32 +168,32 @@
     fn handle(self: &Rc<Self>, event: EntryEvent) {
         match event {
             EntryEvent::Fleet(view) => {
-                self.adopt(&view);
+                self.apply_view(&view);
                 *self.view.borrow_mut() = view;
             }
             EntryEvent::Evacuated(centres) => {
                 *self.evacuated.borrow_mut() = centres;
                 let view = Arc::clone(&self.view.borrow());
-                self.adopt(&view);
+                self.apply_view(&view);
             }
             EntryEvent::Config(active) => {
                 self.quotas.retain(&active.config.accounts);
                 *self.active.borrow_mut() = Some(active);
-                self.tell_readiness();
+                self.update_readiness();
             }
             EntryEvent::Joined { least_revision } => {
                 *self.least_revision.borrow_mut() = Some(least_revision);
-                self.tell_readiness();
+                self.update_readiness();
             }
             EntryEvent::Terms { retries, quota } => {
                 self.retry_share.set(retries);
                 self.quotas.set_terms(quota);
                 self.retry_budgets.borrow_mut().clear();
             }
-            EntryEvent::Suspects(notices) => self.learn_suspects(&notices),
+            EntryEvent::Suspects(notices) => self.merge_suspects(&notices),
             EntryEvent::Withdraw => {
                 self.withdrawn.set(true);
-                self.tell_readiness();
+                self.update_readiness();
             }
             EntryEvent::Dump(reply) => drop(reply.send(self.dump())),
             EntryEvent::Stop(done) => {
@@ -200,38 +202,39 @@
         }
     }
 
-    fn adopt(&self, view: &FleetView) {
+    fn apply_view(&self, view: &FleetView) {
         let evacuated = self.evacuated.borrow();
         let mut registry = self.registry.borrow_mut();
         registry.adopt(self.clock.now(), view, &self.data_centre, &evacuated);
         drop((registry, evacuated));
-        let guards = self.pool.adopt(view, &self.data_centre);
-        self.fleet_size.set(self.fleet_size.get().max(guards));
+        let guards = self.pool.update(view, &self.data_centre);
+        self.max_fleet_size.set(self.max_fleet_size.get().max(guards));
     }
 
-    fn tell_readiness(&self) {
+    fn update_readiness(&self) {
         self.readiness.set(self.config().is_some() && !self.withdrawn.get());
     }
 
-    /// Lets a service's budget do something, such as grant a further try.
-    pub(crate) fn with_budget<T>(
+    /// Calls `act` with the retry budget of a service, which is created if necessary.
+    pub(crate) fn with_retry_budget<T>(
         &self,
         service: &ServiceName,
         act: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.retry_budgets.borrow_mut();
-        let open = || self.retry_share.get().open(self.fleet_size.get());
+        let open = || self.retry_share.get().open(self.max_fleet_size.get());
         act(budgets.entry(service.clone()).or_insert_with(open))
     }
 
-    /// Tells the peers that a call did not reach a host, so that they look after it.
-    pub(crate) fn tell_unreached(&self, host: &HostName) {
+    /// Reports a host that a call did not reach, so that the peers duty checks it.
+    pub(crate) fn report_unreachable(&self, host: &HostName) {
         if self.peers.push(PeersEvent::Unreached(host.clone())).is_err() {
             self.metrics.shed.with_label_values(&["peers"]).inc();
         }
     }
 
-    /// Returns the configuration, if calls may be served by it.
+    /// Returns the configuration, or `None` while there is none that calls may be served
+    /// by.
     pub(crate) fn config(&self) -> Option<Arc<FleetConfig>> {
         let active = self.active.borrow();
         let active = active.as_ref()?;
@@ -246,18 +249,19 @@
         record.map_or(1.0, |record| benefit::slowness_now(record, self.clock.now()))
     }
 
-    /// Returns the time by the clock of a target's guard, as far as it is known.
-    pub(crate) fn time_at_guard(
+    /// Returns the current time by the clock of a target's guard, or `None` if the
+    /// clock's offset is not known yet.
+    pub(crate) fn guard_time(
         &self,
         service: &ServiceName,
         target: &TargetName,
     ) -> Option<MicroTime> {
         let mut registry = self.registry.borrow_mut();
-        let lead = registry.find(service, target)?.clock_lead?;
-        Some(lead.theirs(self.clock.now()))
+        let offset = registry.find(service, target)?.clock_lead?;
+        Some(offset.theirs(self.clock.now()))
     }
 
-    /// Notes whether a target is watched; `false` if that was known already.
+    /// Records whether a target is watched; returns whether that changed.
     pub(crate) fn mark_watched(
         &self,
         service: &ServiceName,
@@ -269,8 +273,8 @@
         record.is_some_and(|record| std::mem::replace(&mut record.watched, watched) != watched)
     }
 
-    /// Notes a target's load, unless a newer report is known.
-    pub(crate) fn hear_load(&self, service: &ServiceName, target: &TargetName, load: LoadReport) {
+    /// Records a target's load, unless a newer report is known.
+    pub(crate) fn update_load(&self, service: &ServiceName, target: &TargetName, load: LoadReport) {
         let now = self.clock.now();
         let mut registry = self.registry.borrow_mut();
         if let Some(record) = registry.find(service, target) {
@@ -289,7 +293,7 @@
             "retry_budgets": *self.retry_budgets.borrow(),
             "hedge_budget": *self.hedge_budget.borrow(),
             "probe_budget": *self.probe_budget.borrow(),
-            "caller_connections": *self.open.borrow(),
+            "caller_connections": *self.caller_connections.borrow(),
             "guard_connections": self.pool.len(),
             "now": self.clock.now(),
         })
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -1,4 +1,4 @@
-//! Connections of an entry to guards.
+//! Connections from an entry to guards.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -20,53 +20,56 @@
 use crate::base::member::FleetView;
 use crate::call::keepalive::{KeepaliveLimits, enable_keepalive};
 
-/// Longest wait for a connection to a guard; a host that has no power answers
-/// nothing, and a call that waits for it is late.
+/// Longest wait for a connection to a guard; a host without power never answers, and a
+/// call that waits for it is late.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longer than two lost packets in a row take; a call to a silent host is late
-/// all the same, the next one is not.
-const SILENCE: KeepaliveLimits =
+/// Long enough to survive two lost packets in a row. A call on a connection to a dead
+/// host is late anyway; the limit serves the calls after it.
+const KEEPALIVE: KeepaliveLimits =
     KeepaliveLimits { user_timeout: Duration::from_millis(900), idle: Duration::from_secs(2) };
 
-/// One `h2` connection for each guard life.
+/// One HTTP/2 connection for each incarnation of each guard.
 #[derive(Debug, Default)]
 pub(crate) struct GuardPool {
-    /// Guards of other data centres, and what counts the bytes to and from them.
-    far: RefCell<HashSet<SocketAddr>>,
-    crossing: Option<IntCounter>,
+    /// Guards in other data centres.
+    remote_guards: RefCell<HashSet<SocketAddr>>,
+    /// Counts the bytes to and from guards in other data centres.
+    crossing_bytes: Option<IntCounter>,
     connections: RefCell<HashMap<(SocketAddr, DaemonIncarnation), SendRequest<Bytes>>>,
 }
 
 impl GuardPool {
-    /// Opens a pool without connections; `crossing` counts the bytes of those to other
-    /// data centres.
-    pub(crate) fn open(crossing: IntCounter) -> Self {
-        Self { crossing: Some(crossing), ..Self::default() }
+    /// Creates a pool without connections; `crossing_bytes` counts the bytes to and from
+    /// other data centres.
+    pub(crate) fn open(crossing_bytes: IntCounter) -> Self {
+        Self { crossing_bytes: Some(crossing_bytes), ..Self::default() }
     }
 
-    /// Returns a connection that takes one more stream, or nothing.
+    /// Returns a connection that accepts one more stream, or `None` if there is none in
+    /// time.
     pub(crate) async fn connect(
         &self,
         guard: SocketAddr,
         incarnation: DaemonIncarnation,
     ) -> Option<SendRequest<Bytes>> {
         let key = (guard, incarnation);
-        let known = self.connections.borrow().get(&key).cloned();
-        if let Some(known) = known
-            && let Ok(ready) = known.ready().await
+        let existing = self.connections.borrow().get(&key).cloned();
+        if let Some(existing) = existing
+            && let Ok(ready) = existing.ready().await
         {
             return Some(ready);
         }
-        let far = self.far.borrow().contains(&guard);
-        let crossing = self.crossing.clone().filter(|_| far);
-        let fresh = timeout(CONNECT_TIMEOUT, dial(guard, crossing)).await.ok()??;
-        self.connections.borrow_mut().insert(key, fresh.clone());
-        fresh.ready().await.ok()
+        let is_remote = self.remote_guards.borrow().contains(&guard);
+        let byte_counter = self.crossing_bytes.clone().filter(|_| is_remote);
+        let opened =
+            timeout(CONNECT_TIMEOUT, open_connection(guard, byte_counter)).await.ok()??;
+        self.connections.borrow_mut().insert(key, opened.clone());
+        opened.ready().await.ok()
     }
 
-    /// Asks a guard something other than a call; returns the reader of its answer.
-    pub(crate) async fn ask<T: Serialize>(
+    /// Sends a guard a request other than a call; returns the reader of its response.
+    pub(crate) async fn request<T: Serialize>(
         &self,
         guard: SocketAddr,
         incarnation: DaemonIncarnation,
@@ -80,35 +83,38 @@
         Some(HeadReader::open(response.await.ok()?.into_body()))
     }
 
-    /// Drops the connection to a guard that gives no sign of life on it.
+    /// Drops the connection to a guard that does not respond on it.
     pub(crate) fn forget(&self, guard: SocketAddr, incarnation: DaemonIncarnation) {
         self.connections.borrow_mut().remove(&(guard, incarnation));
     }
 
-    /// Drops the connections to guards that are gone, and notes who is far; returns how
-    /// many guards there are.
-    pub(crate) fn adopt(&self, view: &FleetView, centre: &CentreName) -> usize {
+    /// Drops the connections to guards that are gone and records which guards are in other
+    /// data centres; returns the number of serving guards.
+    pub(crate) fn update(&self, view: &FleetView, centre: &CentreName) -> usize {
         let serving = || view.serving();
         let alive: HashSet<_> =
             serving().map(|member| (member.guard, member.incarnation)).collect();
-        let far = serving().filter(|member| member.data_centre != *centre);
-        *self.far.borrow_mut() = far.map(|member| member.guard).collect();
+        let remote = serving().filter(|member| member.data_centre != *centre);
+        *self.remote_guards.borrow_mut() = remote.map(|member| member.guard).collect();
         self.connections.borrow_mut().retain(|key, _| alive.contains(key));
         alive.len()
     }
 
-    /// Returns how many connections are held.
+    /// Returns the number of connections.
     pub(crate) fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 }
 
-async fn dial(guard: SocketAddr, crossing: Option<IntCounter>) -> Option<SendRequest<Bytes>> {
+async fn open_connection(
+    guard: SocketAddr,
+    byte_counter: Option<IntCounter>,
+) -> Option<SendRequest<Bytes>> {
     let socket = TcpStream::connect(guard).await.ok()?;
     socket.set_nodelay(true).ok()?;
-    enable_keepalive(&socket, &SILENCE).ok()?;
+    enable_keepalive(&socket, &KEEPALIVE).ok()?;
     let (sender, connection) =
-        h2io::client().handshake(CountedSocket::open(socket, crossing)).await.ok()?;
+        h2io::client().handshake(CountedSocket::open(socket, byte_counter)).await.ok()?;
     spawn_local(async move { drop(connection.await) });
     Some(sender)
 }
--- /dev/null
+++ b/src/call/entry/route_stats.rs
@@ -0,0 +1,84 @@
+//! Work times and sizes of earlier calls by route, for choosing the target of the next.
+
+use std::collections::HashMap;
+
+use crate::base::clock::MicroTime;
+use crate::decide::selection::CallOutlook;
+use crate::rules::terms::CallTerms;
+
+/// Weight of the newest call in the moving averages of its route.
+const NEWEST_WEIGHT: f64 = 0.1;
+
+/// Largest number of routes that are tracked; an operator has some hundreds.
+const MAX_ROUTES: usize = 4_096;
+
+/// Assumed work time of an unknown route, as a fraction of its latency objective: operators
+/// set objectives of a few times the work.
+const DEFAULT_WORK_FRACTION: f64 = 1.0 / 3.0;
+
+/// Size of the heads of a request and its response between two daemons, in bytes.
+const HEAD_BYTES: f64 = 600.0;
+
+/// Moving averages of one route.
+#[derive(Clone, Copy, Debug)]
+struct RouteAverages {
+    /// Work time at a target of usual speed, in microseconds.
+    work_us: f64,
+    /// Size of a request and its response without heads, in bytes.
+    bytes: f64,
+}
+
+/// Moving averages of all routes that this entry served.
+#[derive(Debug, Default)]
+pub(crate) struct RouteStats {
+    routes: HashMap<String, RouteAverages>,
+}
+
+impl RouteStats {
+    /// Records an answered call: the work time at its target and its size in bytes.
+    pub(crate) fn record(&mut self, route: &str, work_us: u32, bytes: u64) {
+        let newest = RouteAverages { work_us: f64::from(work_us), bytes: bytes as f64 };
+        if let Some(known) = self.routes.get_mut(route) {
+            known.work_us += NEWEST_WEIGHT * (newest.work_us - known.work_us);
+            known.bytes += NEWEST_WEIGHT * (newest.bytes - known.bytes);
+        } else if self.routes.len() < MAX_ROUTES {
+            self.routes.insert(route.to_owned(), newest);
+        }
+    }
+
+    /// Returns the usual work time of a call's route, in microseconds.
+    ///
+    /// The work time of an unknown route, as after a restart, is derived from its objective.
+    pub(crate) fn work_us(&self, terms: &CallTerms) -> f64 {
+        self.routes.get(&terms.kind).map_or_else(|| default_work_us(terms), |known| known.work_us)
+    }
+
+    /// Returns whether calls of a route were answered before.
+    pub(crate) fn knows(&self, route: &str) -> bool {
+        self.routes.contains_key(route)
+    }
+
+    /// Returns the estimate of a call from which its target is chosen.
+    ///
+    /// `left` is the time left until its objective, `crossing_cost` the cost of sending 1000
+    /// bytes between data centres.
+    pub(crate) fn estimate(
+        &self,
+        terms: &CallTerms,
+        left: MicroTime,
+        crossing_cost: f64,
+    ) -> CallOutlook {
+        let known = self.routes.get(&terms.kind);
+        let bytes = known.map_or(0.0, |known| known.bytes) + HEAD_BYTES;
+        CallOutlook {
+            work_us: known.map_or_else(|| default_work_us(terms), |known| known.work_us),
+            objective_us: left.0 as f64,
+            crossing_cost: crossing_cost * bytes / 1_000.0,
+        }
+    }
+}
+
+/// Returns the assumed work time of a call whose route is unknown, in microseconds.
+fn default_work_us(terms: &CallTerms) -> f64 {
+    f64::from(terms.objective_ms) * 1_000.0 * DEFAULT_WORK_FRACTION
+}
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -1,4 +1,4 @@
-//! A call's tries: which target, and what follows when one of them ends.
+//! Routing of a call: choosing targets, and retrying after failed attempts.
 
 use std::rc::Rc;
 
@@ -13,64 +13,66 @@
 use crate::call::entry::attempt::{self, AttemptEnd};
 use crate::call::entry::hedge;
 use crate::call::entry::intake::{CallerCall, NOT_READY_RETRY_MS};
-use crate::call::entry::measure;
+use crate::call::entry::load_probe;
 use crate::call::responses::{self, ResponseBody};
 use crate::decide::benefit;
 use crate::decide::outcome::RowVerdict;
 use crate::decide::retry::{CallCourse, NextStep, TryEnd};
 use crate::decide::selection::TargetPlace;
 
-/// When to come back while an earlier call with the key still runs.
+/// Retry delay while an earlier call with the same key is running, in milliseconds.
 const RUNNING_RETRY_MS: u32 = 500;
 
-/// A target as it was chosen for a try.
+/// A target that was chosen for an attempt.
 #[derive(Debug)]
 pub(crate) struct ChosenTarget {
     pub(crate) name: TargetName,
-    pub(crate) place: TargetPlace,
-    /// Time it takes for a call, as far as known, in microseconds.
+    pub(crate) location: TargetPlace,
+    /// Time that the target takes for a call, in microseconds; an estimate if unknown.
     pub(crate) service_us: f64,
-    /// What the choice was made on, and its age.
+    /// Load report that the choice was based on.
     pub(crate) load: LoadReport,
+    /// Age of the load report.
     pub(crate) load_age: MicroTime,
-    /// Targets that stay untried.
-    pub(crate) others: usize,
+    /// Number of targets that have not been tried.
+    pub(crate) untried: usize,
 }
 
 impl EntryDuty {
-    /// Tries targets until one answers, or until no further try is allowed.
+    /// Attempts a call at one target after the other, until one answers or no further
+    /// attempt is allowed.
     pub(super) async fn route(self: &Rc<Self>, mut call: CallerCall) -> Response<ResponseBody> {
         let mut tried: Vec<TargetName> = Vec::new();
-        // Of those, the ones that will not be free again soon.
-        let mut gone: Vec<TargetName> = Vec::new();
+        // The tried targets that would not serve another attempt soon.
+        let mut unusable: Vec<TargetName> = Vec::new();
         let mut course = CallCourse::open(call.terms.repeatable, call.terms.attempts);
         let mut refusal = ("no_target", NOT_READY_RETRY_MS);
-        // A target's own answer, kept while another target is tried.
+        // A target's server error, returned if no other target answers.
         let mut failure: Option<Response<ResponseBody>> = None;
         loop {
-            if let Some(response) = self.hold_back(&call, course.give_up()) {
+            if let Some(response) = self.reject_blamed(&call, course.give_up()) {
                 return failure.unwrap_or(response);
             }
             if course.is_last_try() {
-                // Where it was full there may be the shortest queue all the same.
-                tried.retain(|name| gone.contains(name));
+                // A target that was full may still have the shortest queue of all.
+                tried.retain(|name| unusable.contains(name));
             }
             let Some(chosen) = self.choose(&call, &tried) else {
-                return failure.unwrap_or_else(|| give_up(course.give_up(), refusal));
+                return failure.unwrap_or_else(|| final_response(course.give_up(), refusal));
             };
-            measure::probe_some(self, &call.service);
+            load_probe::probe_random_target(self, &call.service);
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
-            let last = course.is_last_try() || chosen.others == 0;
+            let last = course.is_last_try() || chosen.untried == 0;
             let (end, cause) =
                 match hedge::run(self, &call, &chosen, &mut course, last, &mut tried).await {
                     AttemptEnd::Answered(response) if response.status().is_server_error() => {
-                        gone.push(chosen.name);
+                        unusable.push(chosen.name);
                         failure = Some(response);
                         (TryEnd::Failed, "failed")
                     }
                     AttemptEnd::Answered(response) => {
-                        self.with_budget(&call.service, |budget| {
+                        self.with_retry_budget(&call.service, |budget| {
                             course.step(TryEnd::Answered, true, budget)
                         });
                         self.hedge_budget.borrow_mut().succeed();
@@ -78,37 +80,39 @@
                     }
                     AttemptEnd::Refused { reason, retry_after_ms } => {
                         refusal = (reason.label(), retry_after_ms);
-                        // A short queue may be joined after all, on the last try, and a
-                        // slow spell is over by then or waited for.
+                        // A full or slow target may be chosen again for the last attempt:
+                        // its queue may be the shortest, and a slow period is over by then
+                        // or the call waits for its end.
                         if !matches!(reason, RefusalReason::Full | RefusalReason::Slow) {
-                            gone.push(chosen.name);
+                            unusable.push(chosen.name);
                         }
                         let declined = reason == RefusalReason::Declined;
                         let end = if declined { TryEnd::Declined } else { TryEnd::Refused };
                         (end, reason.label())
                     }
                     AttemptEnd::Lost => {
-                        gone.push(chosen.name);
+                        unusable.push(chosen.name);
                         (TryEnd::Lost, "lost")
                     }
                     AttemptEnd::Claimed { row, version } => {
-                        if let Some(response) = self.settle(&call, &row).await {
+                        if let Some(response) = self.resolve_claim(&call, &row).await {
                             return response;
                         }
-                        take_over(&mut call, version);
+                        take_over_claim(&mut call, version);
                         tried.clear();
                         (TryEnd::TakeOver, "take_over")
                     }
                 };
             let in_time = self.clock.now() < call.deadline;
-            let next = self.with_budget(&call.service, |budget| course.step(end, in_time, budget));
-            if let Some(response) = self.hold_back(&call, course.give_up()) {
+            let next =
+                self.with_retry_budget(&call.service, |budget| course.step(end, in_time, budget));
+            if let Some(response) = self.reject_blamed(&call, course.give_up()) {
                 return failure.unwrap_or(response);
             }
             if next != NextStep::TryAgain {
-                return failure.unwrap_or_else(|| give_up(next, refusal));
+                return failure.unwrap_or_else(|| final_response(next, refusal));
             }
-            info!(self.logger, "tried again"; "id" => &*call.id, "cause" => cause);
+            info!(self.logger, "retrying"; "id" => &*call.id, "cause" => cause);
             self.metrics.retries.with_label_values(&[cause]).inc();
         }
     }
@@ -119,42 +123,44 @@
         let targets = registry.services.get_mut(&call.service)?;
         let now = self.clock.now();
         let left = call.objective().since(now);
-        let book = self.route_book.borrow();
-        let outlook = book.outlook(&call.terms, left, self.crossing_cost);
+        let stats = self.route_stats.borrow();
+        let estimate = stats.estimate(&call.terms, left, self.crossing_cost);
         let mut rng = self.rng.borrow_mut();
-        let standing = self.suspects.borrow().standing(call.digest);
-        let shared = standing.is_suspected();
-        let shared = shared.then(|| targets.choose_shared(now, call.digest, tried, &outlook));
-        let index = match shared.flatten() {
+        let suspect = self.suspects.borrow().standing(call.digest);
+        let is_suspected = suspect.is_suspected();
+        let by_digest =
+            is_suspected.then(|| targets.choose_shared(now, call.digest, tried, &estimate));
+        let index = match by_digest.flatten() {
             Some(index) => index,
-            None => targets.choose_for(now, call.policy, tried, &outlook, &mut rng)?,
+            None => targets.choose_for(now, call.policy, tried, &estimate, &mut rng)?,
         };
         let record = &targets.targets[index];
-        let others = targets.targets.len().saturating_sub(tried.len() + 1);
+        let untried = targets.targets.len().saturating_sub(tried.len() + 1);
         Some(ChosenTarget {
             name: record.name.clone(),
-            place: record.place.clone()?,
+            location: record.place.clone()?,
             service_us: record.service_us(),
             load: record.load,
             load_age: now.since(record.heard),
-            others,
+            untried,
         })
     }
 
-    /// Tells whether a further try beside the present one would likely be in time.
+    /// Returns whether another attempt, started now, would probably be in time.
     pub(crate) fn can_be_in_time(&self, call: &CallerCall, tried: &[TargetName]) -> bool {
         let now = self.clock.now();
-        let book = self.route_book.borrow();
+        let stats = self.route_stats.borrow();
         let left = call.objective().since(now);
-        let mut outlook = book.outlook(&call.terms, left, self.crossing_cost);
-        if !book.knows(&call.terms.kind) {
-            // A guess is no reason to leave a read at a target that hangs.
-            outlook.work_us = 0.0;
+        let mut estimate = stats.estimate(&call.terms, left, self.crossing_cost);
+        if !stats.knows(&call.terms.kind) {
+            // Without a known work time, always allow the hedge: an assumed one must not
+            // keep a read waiting for a target that hangs.
+            estimate.work_us = 0.0;
         }
         let registry = self.registry.borrow();
         let Some(service) = registry.services.get(&call.service) else { return false };
         let mut untried = service.targets.iter().filter(|target| !tried.contains(&target.name));
-        untried.any(|target| benefit::is_promising(target, now, &outlook))
+        untried.any(|target| benefit::is_promising(target, now, &estimate))
     }
 
     fn log_choice(&self, call: &CallerCall, chosen: &ChosenTarget) {
@@ -162,16 +168,17 @@
         let load = chosen.load;
         info!(self.logger, "chosen"; "id" => &*call.id, "digest" => %call.digest, "route" => &*call.terms.kind, "worth" => call.terms.priority.worth,
             "objective_ms" => call.terms.objective_ms, "service" => %call.service,
-            "target" => %chosen.name, "at" => %chosen.place.host, "revision" => revision,
+            "target" => %chosen.name, "at" => %chosen.location.host, "revision" => revision,
             "in_flight" => load.in_flight, "queued" => load.queued, "slots" => load.slots,
             "service_us" => load.service_us, "slowness" => load.slowness,
             "load_age_us" => chosen.load_age.0, "left_us" => call.deadline.since(self.clock.now()).0);
     }
 
-    /// Finds out about an earlier call with the same key.
+    /// Determines the outcome of an earlier call with the same idempotency key.
     ///
-    /// Returns its answer, or nothing if it is certain never to run.
-    async fn settle(
+    /// Returns the response that follows from it, or `None` if the earlier call will never
+    /// run, so that this one may.
+    async fn resolve_claim(
         self: &Rc<Self>,
         call: &CallerCall,
         row: &ClaimRow,
@@ -198,8 +205,8 @@
     }
 }
 
-/// Makes the final answer of a call that no target answered.
-fn give_up(step: NextStep, refusal: (&str, u32)) -> Response<ResponseBody> {
+/// Creates the response to a call that no target answered.
+fn final_response(step: NextStep, refusal: (&str, u32)) -> Response<ResponseBody> {
     if step == NextStep::TellUnknown {
         return responses::unknown("lost", None);
     }
@@ -207,7 +214,7 @@
     responses::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after_ms)
 }
 
-fn take_over(call: &mut CallerCall, version: u64) {
+fn take_over_claim(call: &mut CallerCall, version: u64) {
     if let Some(claim) = &mut call.claim {
         claim.takeover = Some(version);
     }
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, from their first byte to the head of an answer.
+//! Serving of HTTP connections from callers.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -34,7 +34,7 @@
                     let Ok((socket, _)) = accepted else { continue };
                     spawn_local(Rc::clone(&self).serve_connection(socket));
                 }
-                // Closing the listener turns new callers to another daemon.
+                // Closing the listener makes new callers connect to another daemon.
                 _ = stopping.wait_for(|stopping| *stopping) => return,
             }
         }
@@ -42,7 +42,7 @@
 
     async fn serve_connection(self: Rc<Self>, socket: TcpStream) {
         drop(socket.set_nodelay(true));
-        self.open.send_modify(|open| *open += 1);
+        self.caller_connections.send_modify(|count| *count += 1);
         let duty = Rc::clone(&self);
         let serve = service_fn(move |request| {
             let duty = Rc::clone(&duty);
@@ -50,12 +50,12 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.idle_limit())
+            .header_read_timeout(self.head_timeout())
             .serve_connection(TokioIo::new(LingeringSocket::open(socket)), serve);
         let mut connection = std::pin::pin!(connection);
         let mut stopping = self.stopping.subscribe();
         let stopped = tokio::select! {
-            // A caller's broken connection is its own affair.
+            // An error on the connection concerns only its caller.
             _ = connection.as_mut() => false,
             _ = stopping.wait_for(|stopping| *stopping) => true,
         };
@@ -63,24 +63,26 @@
             connection.as_mut().graceful_shutdown();
             drop(connection.await);
         }
-        self.open.send_modify(|open| *open -= 1);
+        self.caller_connections.send_modify(|count| *count -= 1);
     }
 
-    /// Returns how long a kept connection may stay without a whole head.
-    fn idle_limit(&self) -> Duration {
+    /// Returns how long a connection may stay open without a complete request head: the idle
+    /// time between two requests and the time to send a head.
+    fn head_timeout(&self) -> Duration {
         let active = self.active.borrow();
         let Some(active) = active.as_ref() else { return SLOW_SENDER };
         let limits = &active.config.limits;
-        let parts = [limits.idle_timeout_ms, limits.head_timeout_ms];
-        let set: u32 = parts.iter().flatten().sum();
-        SLOW_SENDER.max(Duration::from_millis(u64::from(set)))
+        let timeouts = [limits.idle_timeout_ms, limits.head_timeout_ms];
+        let total_ms: u32 = timeouts.iter().flatten().sum();
+        SLOW_SENDER.max(Duration::from_millis(u64::from(total_ms)))
     }
 
     async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
-        let since = self.clock.now();
+        let arrived = self.clock.now();
         let id = self.names.request_id.and_then(|name| headers::get_str(request.headers(), name));
         let id: Arc<str> = Arc::from(id.unwrap_or_default());
-        let open = OpenCall { duty: &self, id: &id, since, answered: Cell::new(false) };
+        let in_progress =
+            CallInProgress { duty: &self, id: &id, arrived, answered: Cell::new(false) };
         let mut response = match intake::receive(&self, request, &id).await {
             Ok(call) => self.route(call).await,
             Err(refusal) => refusal,
@@ -88,15 +90,15 @@
         let outcome = response.headers().get(headers::OUTCOME);
         let outcome = outcome.and_then(|value| value.to_str().ok()).unwrap_or("none");
         self.metrics.calls.with_label_values(&[outcome]).inc();
-        let took = self.clock.now().since(since);
+        let took = self.clock.now().since(arrived);
         self.metrics.latency.observe(took.duration().as_secs_f64());
-        open.answered.set(true);
-        self.log_answer(&id, &response, took);
+        in_progress.answered.set(true);
+        self.log_response(&id, &response, took);
         self.finish_head(&mut response);
         response
     }
 
-    fn log_answer(&self, id: &str, response: &Response<ResponseBody>, took: MicroTime) {
+    fn log_response(&self, id: &str, response: &Response<ResponseBody>, took: MicroTime) {
         let text = |name| headers::get_str(response.headers(), name).unwrap_or_default();
         let (outcome, reason) = (text(headers::OUTCOME), text(headers::REASON));
         let status = response.status().as_u16();
@@ -104,13 +106,13 @@
             info!(self.logger, "answered"; "id" => id, "status" => status, "took_us" => took.0,
                 "target" => text(headers::TARGET));
         } else {
-            warn!(self.logger, "given up"; "id" => id, "status" => status, "took_us" => took.0,
+            warn!(self.logger, "call failed"; "id" => id, "status" => status, "took_us" => took.0,
                 "outcome" => outcome, "reason" => reason,
                 "retry_after_ms" => text(headers::RETRY_AFTER_MS));
         }
     }
 
-    /// Brings an answer's head into the form that callers here expect.
+    /// Adapts the head of a response to what callers expect in this deployment.
     fn finish_head(&self, response: &mut Response<ResponseBody>) {
         let headers = response.headers_mut();
         let retry_ms = headers::get_str(headers, headers::RETRY_AFTER_MS);
@@ -127,41 +129,41 @@
         }
     }
 
-    /// Returns the wait of a refused caller in seconds, with fractions where
-    /// callers here read them.
+    /// Returns the value of `Retry-After` in seconds, with fractions if callers accept them.
     fn retry_after(&self, ms: u32) -> HeaderValue {
-        let whole = HeaderValue::from(ms.div_ceil(1_000).max(1));
+        let whole_seconds = HeaderValue::from(ms.div_ceil(1_000).max(1));
         if !self.names.fractional_retry_after {
-            return whole;
+            return whole_seconds;
         }
         let seconds = format!("{:.3}", f64::from(ms) / 1_000.0);
-        HeaderValue::from_str(&seconds).unwrap_or(whole)
+        HeaderValue::from_str(&seconds).unwrap_or(whole_seconds)
     }
 
-    /// Takes no new calls and waits for the old to end.
+    /// Stops accepting connections and waits until the open ones have closed.
     pub(super) async fn stop(self: Rc<Self>, done: oneshot::Sender<()>) {
-        info!(self.logger, "entry stops"; "connections" => *self.open.borrow());
+        info!(self.logger, "entry stopping"; "connections" => *self.caller_connections.borrow());
         self.stopping.send_replace(true);
-        let mut open = self.open.subscribe();
-        // Fails only when the duty itself is gone.
-        drop(open.wait_for(|open| *open == 0).await);
+        let mut connections = self.caller_connections.subscribe();
+        // Fails only if the duty itself is gone.
+        drop(connections.wait_for(|count| *count == 0).await);
         _ = done.send(());
     }
 }
 
-/// A call that is being served; dropped before its answer, its caller has left.
-struct OpenCall<'a> {
+/// A call that is being served; if this is dropped before the call is answered, its caller
+/// has disconnected.
+struct CallInProgress<'a> {
     duty: &'a EntryDuty,
     id: &'a str,
-    since: MicroTime,
+    arrived: MicroTime,
     answered: Cell<bool>,
 }
 
-impl Drop for OpenCall<'_> {
+impl Drop for CallInProgress<'_> {
     fn drop(&mut self) {
         if !self.answered.get() {
-            let after = self.duty.clock.now().since(self.since);
-            info!(self.duty.logger, "caller left"; "id" => self.id, "after_us" => after.0);
+            let elapsed = self.duty.clock.now().since(self.arrived);
+            info!(self.duty.logger, "caller disconnected"; "id" => self.id, "after_us" => elapsed.0);
         }
     }
 }
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -1,4 +1,4 @@
-//! An entry's side of requests that end targets.
+//! Rejection of requests that crash targets.
 
 use http::{Response, StatusCode};
 use slog::warn;
@@ -9,11 +9,11 @@
 use crate::call::responses::{self, ResponseBody};
 use crate::decide::retry::NextStep;
 
-/// Why such a call is turned away.
+/// Reason in the response to a call that may reach no target.
 const REASON: &str = "ends_targets";
 
 impl EntryDuty {
-    pub(super) fn learn_suspects(&self, notices: &[SuspectNotice]) {
+    pub(super) fn merge_suspects(&self, notices: &[SuspectNotice]) {
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
         for notice in notices {
@@ -21,33 +21,34 @@
         }
     }
 
-    /// Takes over what a guard knows of a call's request.
-    pub(crate) fn learn_suspect(&self, call: &CallerCall, record: SuspectRecord) {
-        self.learn_suspects(&[SuspectNotice { digest: call.digest, record }]);
+    /// Merges a guard's crash record of a call's request into this entry's.
+    pub(crate) fn merge_suspect(&self, call: &CallerCall, record: SuspectRecord) {
+        self.merge_suspects(&[SuspectNotice { digest: call.digest, record }]);
     }
 
-    /// Returns what is known of a call's request.
-    pub(crate) fn standing(&self, call: &CallerCall) -> SuspectRecord {
+    /// Returns the crash record of a call's request.
+    pub(crate) fn suspect_record(&self, call: &CallerCall) -> SuspectRecord {
         self.suspects.borrow().standing(call.digest)
     }
 
-    /// Ends a call whose request reaches no target, if it is one.
+    /// Returns the response to a call whose request is blamed for crashes, or `None` if the
+    /// request may run.
     ///
-    /// No time to come back is told, since coming back does not help. A call that ran
-    /// before it was known is not said not to have run.
-    pub(super) fn hold_back(
+    /// The response has no retry delay, since a retry would be rejected too. It doesn't claim
+    /// that the call did not run if an attempt may have run before the request was blamed.
+    pub(super) fn reject_blamed(
         &self,
         call: &CallerCall,
-        give_up: NextStep,
+        final_step: NextStep,
     ) -> Option<Response<ResponseBody>> {
-        let record = self.standing(call);
+        let record = self.suspect_record(call);
         if !record.is_blamed() {
             return None;
         }
         self.metrics.held_back.inc();
-        warn!(self.logger, "held back"; "id" => &*call.id, "digest" => %call.digest,
-            "crashes" => record.crashes, "ran" => give_up == NextStep::TellUnknown);
-        Some(match give_up {
+        warn!(self.logger, "request blocked"; "id" => &*call.id, "digest" => %call.digest,
+            "crashes" => record.crashes, "ran" => final_step == NextStep::TellUnknown);
+        Some(match final_step {
             NextStep::TellUnknown => responses::unknown(REASON, None),
             _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
