--- a/src/bin/railspan.rs
+++ b/src/bin/railspan.rs
@@ -1,4 +1,4 @@
-//! The operators' command; see `railspan --help`.
+//! Command-line tool for operators; see `railspan --help`.
 
 use std::process::ExitCode;
 
--- a/src/bin/railspand.rs
+++ b/src/bin/railspand.rs
@@ -1,4 +1,4 @@
-//! The daemon: one beside each target host.
+//! The daemon, which runs on each target host.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -6,11 +6,11 @@
 use gumdrop::Options;
 use railspan::{DaemonParts, DaemonSettings};
 
-/// Exit code for bad settings or arguments.
-const BAD_INPUT: u8 = 2;
+/// Exit code for invalid settings; the same as the argument parser's for bad arguments.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// Exit code for a daemon that can't start.
-const NOT_STARTED: u8 = 1;
+const EXIT_NOT_STARTED: u8 = 1;
 
 #[derive(Debug, Options)]
 struct DaemonOptions {
@@ -26,7 +26,7 @@
     let file = options.settings;
     let settings = match DaemonSettings::open(&file) {
         Ok(settings) => settings,
-        Err(findings) => return complain(BAD_INPUT, &findings.to_string()),
+        Err(findings) => return fail(EXIT_INVALID_SETTINGS, &findings.to_string()),
     };
     let parts = DaemonParts {
         client: railspan::open_store(settings.platform_address),
@@ -35,23 +35,23 @@
     };
     match railspan::spawn(&settings, parts) {
         Ok(daemon) => {
-            announce(&daemon);
+            print_addresses(&daemon);
             daemon.wait();
             ExitCode::SUCCESS
         }
-        Err(error) => complain(NOT_STARTED, &error.to_string()),
+        Err(error) => fail(EXIT_NOT_STARTED, &error.to_string()),
     }
 }
 
-/// Prints one line that says where the daemon listens.
-fn announce(daemon: &railspan::RunningDaemon) {
+/// Prints the daemon's addresses as one line of JSON.
+fn print_addresses(daemon: &railspan::RunningDaemon) {
     let line = serde_json::to_string(daemon.addresses()).unwrap_or_default();
     let mut out = std::io::stdout();
-    // Whoever started the daemon may not care to read.
+    // The output may be closed if the parent process doesn't read it.
     drop(writeln!(out, "{line}").and_then(|()| out.flush()));
 }
 
-fn complain(code: u8, text: &str) -> ExitCode {
+fn fail(code: u8, text: &str) -> ExitCode {
     eprintln!("{text}");
     ExitCode::from(code)
 }
--- a/src/process/adapter.rs
+++ b/src/process/adapter.rs
@@ -1,4 +1,4 @@
-//! What a deployment's platform brings: names, calls and their reading.
+//! Interface to a deployment's platform: header names, paths and parsers.
 
 use std::time::Duration;
 
@@ -10,67 +10,67 @@
 use crate::decide::quota::QuotaTerms;
 use crate::duty::target_report::TargetReport;
 
-/// The adapter of one kind of platform; a table that never changes.
+/// Constant table that adapts railspan to one kind of platform.
 #[derive(Debug)]
 pub struct DeploymentAdapter {
-    /// The platform's names of the headers.
+    /// Header names of the platform.
     pub headers: &'static HeaderNames,
-    /// Path at which the platform asks for readiness.
+    /// Path at which the platform polls for readiness.
     pub ready_path: &'static str,
-    /// Reads a call of the host's target; `Err` is the answer to a bad one.
+    /// Parses a control request of the host's target; `Err` is the response to a bad one.
     pub parse_report: for<'a> fn(&ControlRequest<'a>) -> Result<TargetReport, ControlError>,
-    /// Reads the terms that the platform sets for all daemons.
+    /// Parses the terms that the platform sets for all daemons.
     pub parse_terms: fn(&str) -> ParsedTerms,
 }
 
-/// A call of the host's target to its daemon.
+/// A request of the host's target to the control address of its daemon.
 #[derive(Debug)]
 pub struct ControlRequest<'a> {
     /// HTTP method.
     pub method: &'a Method,
     /// Path without the query.
     pub path: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// An answer to a call that can't be used.
+/// Response to a control request that can't be used.
 #[derive(Debug)]
 pub struct ControlError {
     /// HTTP status.
     pub status: StatusCode,
-    /// What is wrong, for a person.
+    /// Error message.
     pub text: String,
 }
 
 /// Terms that a deployment's platform sets for all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeploymentTerms {
-    /// Further tries that all daemons may make, as a share of the calls.
+    /// Retries that all daemons together may make, as a fraction of the calls.
     pub retry_ratio: f64,
-    /// Further tries beyond that share, in one window of the platform's.
+    /// Retries beyond that fraction that they may make in one window of the platform.
     pub retry_slack: f64,
-    /// Time a target's heartbeat stays valid without a further one.
+    /// Time for which a target's heartbeat stays valid.
     pub target_lease: Duration,
     /// Time from a stop signal until the process is killed.
     pub grace: Duration,
-    /// What cold targets are given beyond their rate.
+    /// Tolerance of the call rate of cold targets.
     pub cold: ColdTerms,
-    /// How exactly quotas of accounts are kept.
+    /// Tolerance of the quotas of accounts.
     pub quota: QuotaTerms,
 }
 
-/// Terms as they were read; what could not be read is left at its default.
+/// Result of parsing terms; a term that can't be parsed keeps its default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedTerms {
-    /// The terms.
+    /// Parsed terms.
     pub terms: DeploymentTerms,
-    /// What is wrong with the text, a line each, for a person.
+    /// Error messages, one for each term that can't be parsed.
     pub errors: Vec<String>,
 }
 
 impl Default for DeploymentTerms {
-    /// Returns terms that suit a platform which sets none.
+    /// Returns the terms for a platform that sets none.
     fn default() -> Self {
         Self {
             retry_ratio: 0.1,
--- a/src/process/admin.rs
+++ b/src/process/admin.rs
@@ -1,4 +1,4 @@
-//! The duty that operators and the host's own targets talk to.
+//! The admin duty: HTTP interface for operators and the host's own targets.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,10 +24,10 @@
 use crate::process::httpd;
 use crate::rules::revision::RevisionHead;
 
-/// Longest wait for another duty's answer.
-const DUTY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest wait for another duty's reply.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Rings to all other duties.
+/// Senders to all other duties.
 #[derive(Debug)]
 pub(crate) struct AdminRings {
     pub(crate) entry: RingSender<EntryEvent>,
@@ -38,69 +38,70 @@
 
 pub(crate) struct AdminDuty {
     host: HostName,
-    head: RefCell<Option<RevisionHead>>,
+    /// Head of the configuration revision in force.
+    revision_head: RefCell<Option<RevisionHead>>,
     metrics: Arc<DaemonMetrics>,
     pub(crate) rings: AdminRings,
 }
 
 impl AdminDuty {
-    /// Makes the duty; [`serve`] runs it.
+    /// Creates the duty, which [`Self::serve`] and [`Self::handle_events`] run.
     pub(crate) fn new(host: HostName, rings: AdminRings, metrics: Arc<DaemonMetrics>) -> Rc<Self> {
-        Rc::new(Self { host, head: RefCell::default(), metrics, rings })
+        Rc::new(Self { host, revision_head: RefCell::default(), metrics, rings })
     }
 
-    /// Takes what other duties tell.
-    pub(crate) async fn hear(self: Rc<Self>, mut inbox: RingInbox<AdminEvent>) {
+    /// Handles events from other duties until the runtime ends.
+    pub(crate) async fn handle_events(self: Rc<Self>, mut inbox: RingInbox<AdminEvent>) {
         loop {
             let AdminEvent::Config(head) = inbox.next().await;
-            *self.head.borrow_mut() = Some(head);
+            *self.revision_head.borrow_mut() = Some(head);
         }
     }
 
-    /// Serves operators and targets until the runtime ends.
+    /// Serves requests of operators and targets until the runtime ends.
     pub(crate) async fn serve(self: Rc<Self>, listener: TcpListener) {
         httpd::serve(listener, move |request| {
             let duty = Rc::clone(&self);
-            async move { duty.answer(request).await }
+            async move { duty.handle_request(request).await }
         })
         .await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle_request(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/healthz") => self.health().await,
             (&Method::GET, "/metrics") => {
                 Response::new(Full::new(Bytes::from(self.metrics.render())))
             }
-            (&Method::GET, "/state") => httpd::to_json(StatusCode::OK, &self.state().await),
-            (&Method::GET, "/status") => httpd::to_json(StatusCode::OK, &self.status().await),
+            (&Method::GET, "/state") => httpd::json_response(StatusCode::OK, &self.state().await),
+            (&Method::GET, "/status") => httpd::json_response(StatusCode::OK, &self.status().await),
             (&Method::GET, "/members") => self.members().await,
             (&Method::POST, "/announce") => self.announce(request).await,
             (&Method::POST, "/drain") => self.drain(request).await,
             (&Method::POST, "/forgive") => self.forgive(request).await,
             (&Method::POST, "/hint") => {
                 drop(self.rings.platform.push(PlatformEvent::Hint));
-                httpd::to_json(StatusCode::OK, &json!({"hinted": true}))
+                httpd::json_response(StatusCode::OK, &json!({"hinted": true}))
             }
-            _ => httpd::fault(StatusCode::NOT_FOUND, "no such page"),
+            _ => httpd::error_response(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
     async fn health(&self) -> Response<Full<Bytes>> {
-        let entry = ask(&self.rings.entry, EntryEvent::Dump).await;
+        let entry = query_duty(&self.rings.entry, EntryEvent::Dump).await;
         let ready = entry.as_ref().is_some_and(|entry| entry["ready"] == json!(true));
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        httpd::to_json(status, &json!({"ready": ready}))
+        httpd::json_response(status, &json!({"ready": ready}))
     }
 
-    /// Returns the inputs of every decision this daemon makes.
+    /// Returns the state that this daemon's decisions are based on.
     async fn state(&self) -> Value {
         let (entry, guard, peers, platform) = tokio::join!(
-            ask(&self.rings.entry, EntryEvent::Dump),
-            ask(&self.rings.guard, GuardEvent::Dump),
-            ask(&self.rings.peers, PeersEvent::Dump),
-            ask(&self.rings.platform, PlatformEvent::Dump),
+            query_duty(&self.rings.entry, EntryEvent::Dump),
+            query_duty(&self.rings.guard, GuardEvent::Dump),
+            query_duty(&self.rings.peers, PeersEvent::Dump),
+            query_duty(&self.rings.platform, PlatformEvent::Dump),
         );
         json!({
             "host": self.host,
@@ -112,63 +113,69 @@
     }
 
     async fn status(&self) -> Value {
-        let entry = ask(&self.rings.entry, EntryEvent::Dump).await.unwrap_or_default();
+        let entry = query_duty(&self.rings.entry, EntryEvent::Dump).await.unwrap_or_default();
         json!({
             "host": self.host,
             "ready": entry["ready"],
             "in_force": entry["revision"],
             "evacuated": entry["evacuated"],
             "blamed": entry["blamed"],
-            "head": *self.head.borrow(),
+            "head": *self.revision_head.borrow(),
         })
     }
 
     async fn members(&self) -> Response<Full<Bytes>> {
-        let view: Option<FleetView> = ask(&self.rings.peers, PeersEvent::Members).await;
+        let view: Option<FleetView> = query_duty(&self.rings.peers, PeersEvent::Members).await;
         match view {
-            Some(view) => httpd::to_json(StatusCode::OK, &view),
-            None => httpd::busy(),
+            Some(view) => httpd::json_response(StatusCode::OK, &view),
+            None => httpd::busy_response(),
         }
     }
 
     async fn announce(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let body = match httpd::read(request).await {
+        let body = match httpd::read_body(request).await {
             Ok(body) => body,
             Err(response) => return response,
         };
         match serde_json::from_slice::<TargetAnnouncement>(&body) {
-            Err(error) => httpd::fault(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => httpd::error_response(StatusCode::BAD_REQUEST, &error.to_string()),
             Ok(announcement) if announcement.slots == 0 => {
-                httpd::fault(StatusCode::BAD_REQUEST, "slots must be at least 1")
+                httpd::error_response(StatusCode::BAD_REQUEST, "slots must be at least 1")
             }
             Ok(announcement) => match self.rings.guard.push(GuardEvent::Announce(announcement)) {
-                Ok(()) => httpd::to_json(StatusCode::OK, &json!({"announced": true})),
-                Err(_full) => httpd::busy(),
+                Ok(()) => httpd::json_response(StatusCode::OK, &json!({"announced": true})),
+                Err(_full) => httpd::busy_response(),
             },
         }
     }
 
     async fn drain(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(target) = query_field(&request, "target").map(TargetName::from) else {
-            return httpd::fault(StatusCode::BAD_REQUEST, "expected ?target=NAME&on=true|false");
+            return httpd::error_response(
+                StatusCode::BAD_REQUEST,
+                "expected ?target=NAME&on=true|false",
+            );
         };
         let drained = query_field(&request, "on") != Some("false");
-        let asked = ask(&self.rings.guard, |reply| GuardEvent::Drain { target, drained, reply });
-        match asked.await {
-            Some(true) => httpd::to_json(StatusCode::OK, &json!({"drained": drained})),
-            Some(false) => httpd::fault(StatusCode::NOT_FOUND, "no such target on this host"),
-            None => httpd::busy(),
+        let reply =
+            query_duty(&self.rings.guard, |reply| GuardEvent::Drain { target, drained, reply });
+        match reply.await {
+            Some(true) => httpd::json_response(StatusCode::OK, &json!({"drained": drained})),
+            Some(false) => {
+                httpd::error_response(StatusCode::NOT_FOUND, "no such target on this host")
+            }
+            None => httpd::busy_response(),
         }
     }
 
     async fn forgive(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(digest) = query_field(&request, "request").and_then(RequestDigest::parse) else {
-            return httpd::fault(StatusCode::BAD_REQUEST, "expected ?request=DIGEST");
+            return httpd::error_response(StatusCode::BAD_REQUEST, "expected ?request=DIGEST");
         };
-        match ask(&self.rings.peers, |reply| PeersEvent::Forgive { digest, reply }).await {
-            Some(true) => httpd::to_json(StatusCode::OK, &json!({"forgiven": digest})),
-            Some(false) => httpd::fault(StatusCode::NOT_FOUND, "no such request is suspected"),
-            None => httpd::busy(),
+        match query_duty(&self.rings.peers, |reply| PeersEvent::Forgive { digest, reply }).await {
+            Some(true) => httpd::json_response(StatusCode::OK, &json!({"forgiven": digest})),
+            Some(false) => httpd::error_response(StatusCode::NOT_FOUND, "request is not suspected"),
+            None => httpd::busy_response(),
         }
     }
 }
@@ -178,12 +185,12 @@
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Asks another duty; nothing if it is too busy to answer.
-pub(crate) async fn ask<E, T>(
+/// Sends a query to another duty; returns `None` if the duty is too busy to reply.
+pub(crate) async fn query_duty<E, T>(
     ring: &RingSender<E>,
     event: impl FnOnce(oneshot::Sender<T>) -> E,
 ) -> Option<T> {
-    let (reply, answer) = oneshot::channel();
-    ring.push(event(reply)).ok()?;
-    timeout(DUTY_TIMEOUT, answer).await.ok()?.ok()
+    let (sender, receiver) = oneshot::channel();
+    ring.push(event(sender)).ok()?;
+    timeout(QUERY_TIMEOUT, receiver).await.ok()?.ok()
 }
--- a/src/process/control.rs
+++ b/src/process/control.rs
@@ -1,4 +1,4 @@
-//! What the host's target and the platform ask of a deployed daemon.
+//! Interfaces of a deployed daemon to its host's target and to the platform.
 
 use std::rc::Rc;
 
@@ -12,18 +12,18 @@
 use crate::duty::readiness::DaemonReadiness;
 use crate::duty::ring::RingSender;
 use crate::process::adapter::{ControlRequest, DeploymentAdapter};
-use crate::process::admin::ask;
+use crate::process::admin::query_duty;
 use crate::process::httpd;
 
-/// Answers the platform's question whether the daemon takes new calls.
-pub(crate) async fn serve_ready(
+/// Serves the readiness checks of the platform: whether the daemon accepts new calls.
+pub(crate) async fn serve_readiness(
     listener: TcpListener,
     adapter: &'static DeploymentAdapter,
     readiness: DaemonReadiness,
 ) {
     httpd::serve(listener, move |request: Request<Incoming>| {
-        let known = request.uri().path() == adapter.ready_path;
-        let status = match (known, readiness.get()) {
+        let is_ready_path = request.uri().path() == adapter.ready_path;
+        let status = match (is_ready_path, readiness.get()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -35,37 +35,37 @@
     .await;
 }
 
-/// Takes the reports of the host's target.
+/// Serves the reports of the host's target.
 ///
-/// A report is acknowledged only when the guard has acted on it: from then on
-/// a target that leaves gets nothing new.
+/// A report is acknowledged only once the guard has acted on it. So a target that reports
+/// that it is leaving receives no new calls after the acknowledgement.
 pub(crate) async fn serve_reports(
     listener: TcpListener,
     adapter: &'static DeploymentAdapter,
     guard: RingSender<GuardEvent>,
 ) {
     let guard = Rc::new(guard);
-    httpd::serve(listener, move |request| take_report(request, adapter, Rc::clone(&guard))).await;
+    httpd::serve(listener, move |request| handle_report(request, adapter, Rc::clone(&guard))).await;
 }
 
-async fn take_report(
+async fn handle_report(
     request: Request<Incoming>,
     adapter: &'static DeploymentAdapter,
     guard: Rc<RingSender<GuardEvent>>,
 ) -> Response<Full<Bytes>> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let body = match httpd::read(request).await {
+    let body = match httpd::read_body(request).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let asked = ControlRequest { method: &method, path: &path, body: &body };
-    let report = match (adapter.parse_report)(&asked) {
+    let control_request = ControlRequest { method: &method, path: &path, body: &body };
+    let report = match (adapter.parse_report)(&control_request) {
         Ok(report) => report,
-        Err(reply) => return httpd::fault(reply.status, &reply.text),
+        Err(error) => return httpd::error_response(error.status, &error.text),
     };
-    match ask(&guard, |reply| GuardEvent::Report { report, reply }).await {
-        Some(()) => httpd::to_json(StatusCode::OK, &serde_json::json!({})),
-        None => httpd::busy(),
+    match query_duty(&guard, |reply| GuardEvent::Report { report, reply }).await {
+        Some(()) => httpd::json_response(StatusCode::OK, &serde_json::json!({})),
+        None => httpd::busy_response(),
     }
 }
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: its threads, their rings, its start and its stop.
+//! Start and handle of a daemon: its threads, and the rings between its duties.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -29,57 +29,56 @@
 use crate::process::listen::{
     self, DaemonAddresses, DaemonListeners, MetricsSnafu, StartError, ThreadSnafu,
 };
-use crate::process::reload::{self, Reloading};
+use crate::process::reload::{self, SettingsReloader};
 use crate::process::settings::DaemonSettings;
 use crate::process::signals::DaemonSignals;
 use crate::process::stop;
 use crate::store::table::PlatformClient;
 
-/// Largest body of a call in a deployment, in bytes: what its operator may allow.
-const MAX_DEPLOYED_BODY: usize = 64 << 20;
+/// Largest request body in a deployment, in bytes: the most that its operator may allow.
+const MAX_DEPLOYMENT_BODY: usize = 64 << 20;
 
-/// A running daemon.
+/// Handle of a running daemon.
 ///
-/// Dropping the handle does not stop it; a signal or [`RunningDaemon::stop`]
-/// does.
+/// Dropping the handle does not stop the daemon; a signal or [`RunningDaemon::stop`] does.
 #[derive(Debug)]
 pub struct RunningDaemon {
     addresses: DaemonAddresses,
     stop: Option<oneshot::Sender<()>>,
-    admin: JoinHandle<()>,
+    admin_thread: JoinHandle<()>,
     log_tail: LogTail,
 }
 
 impl RunningDaemon {
-    /// Returns where the daemon listens.
+    /// Returns the addresses at which the daemon listens.
     #[must_use]
     pub const fn addresses(&self) -> &DaemonAddresses {
         &self.addresses
     }
 
-    /// Asks for a planned stop.
+    /// Starts a planned stop.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
-            // Fails only when the daemon stopped already.
+            // Fails only if the daemon has stopped already.
             _ = stop.send(());
         }
     }
 
     /// Waits until the daemon has stopped.
     pub fn wait(self) {
-        // Fails only when the thread panicked, which was reported then.
-        drop(self.admin.join());
+        // Fails only if the thread panicked, which the panic hook has reported.
+        drop(self.admin_thread.join());
         self.log_tail.write();
     }
 }
 
-/// What a daemon is opened with beside its settings.
+/// Inputs of [`spawn`] besides the settings.
 pub struct DaemonParts {
-    /// The one client of the platform.
+    /// Client of the platform's store.
     pub client: PlatformClient,
-    /// The platform's adapter; used where the settings name a deployment.
+    /// Adapter of the platform; used if the settings describe a deployment.
     pub adapter: &'static DeploymentAdapter,
-    /// Reads the settings anew, when they may have changed.
+    /// Reads the settings again; called when they may have changed.
     pub reload: Box<dyn Fn() -> Result<DaemonSettings, FindingList> + Send>,
 }
 
@@ -89,7 +88,7 @@
     }
 }
 
-/// The inboxes of all duties, and the rings between them.
+/// Inboxes of all duties, and the senders to them.
 struct DaemonRings {
     entry: RingInbox<EntryEvent>,
     guard: RingInbox<GuardEvent>,
@@ -101,7 +100,7 @@
     from_peers: PeersRings,
     from_platform: PlatformRings,
     from_admin: AdminRings,
-    /// For the reports of the host's target.
+    /// Sender for the reports of the host's target.
     reports: RingSender<GuardEvent>,
 }
 
@@ -109,8 +108,8 @@
 ///
 /// # Errors
 ///
-/// Fails when an address, a thread or a counter can't be had; nothing keeps
-/// running then but threads that end with the process.
+/// Returns an error if an address can't be bound, a thread can't be started or a metric
+/// can't be registered. Threads started before the error end with the process.
 pub fn spawn(settings: &DaemonSettings, parts: DaemonParts) -> Result<RunningDaemon, StartError> {
     let metrics = Arc::new(DaemonMetrics::open().context(MetricsSnafu)?);
     let (logger, log_tail) = log::open(settings.host.as_str(), &metrics).context(ThreadSnafu)?;
@@ -118,22 +117,25 @@
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
     let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
-    let terms = deployment.map(|set| reload::parse_terms(adapter, &set.terms, &logger));
+    let terms =
+        deployment.map(|deployment| reload::parse_terms(adapter, &deployment.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
-    let DaemonListeners { caller, admin, guard, peer, probe, deployed } = listeners;
-    let own = own_record(settings, &addresses);
+    let DaemonListeners { caller, admin, guard, peer, probe, deployment: deployment_listeners } =
+        listeners;
+    let own = initial_record(settings, &addresses);
     let incarnation = own.incarnation;
     let rings = open_rings();
     let readiness = DaemonReadiness::default();
-    let mut bodies: Vec<(&str, DutyBody)> = Vec::new();
+    let mut duties: Vec<(&str, DutyBody)> = Vec::new();
 
     let parts = EntryParts {
         seed,
         names,
         data_centre: settings.data_centre.clone(),
-        crossing_cost: deployment.map_or(0.0, |set| f64::from(set.crossing_cost) / 1_000.0),
+        crossing_cost: deployment
+            .map_or(0.0, |deployment| f64::from(deployment.crossing_cost) / 1_000.0),
         own_service: deployment.map(|deployment| deployment.service.clone()),
         retry_share: reload::retry_share(terms),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
@@ -147,7 +149,7 @@
         probe_socket: probe,
     };
     let (inbox, counters, log) = (rings.entry, Arc::clone(&metrics), logger.clone());
-    bodies.push(("entry", threads::body(move || entry::run(parts, inbox, counters, log))));
+    duties.push(("entry", threads::body(move || entry::run(parts, inbox, counters, log))));
 
     let parts = GuardParts {
         host: settings.host.clone(),
@@ -159,14 +161,14 @@
         target_lease: terms.map_or(TARGET_LEASE, |terms| terms.target_lease),
         cold_terms: terms.map(|terms| terms.cold).unwrap_or_default(),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
-        max_body: if terms.is_some() { MAX_DEPLOYED_BODY } else { MAX_REQUEST_BODY },
+        max_body: if terms.is_some() { MAX_DEPLOYMENT_BODY } else { MAX_REQUEST_BODY },
         address: addresses.guard,
         listener: guard.0,
         socket: guard.1,
     };
     let (inbox, counters, log) = (rings.guard, Arc::clone(&metrics), logger.clone());
     let out = rings.from_guard;
-    bodies.push(("guard", threads::body(move || guard::run(parts, inbox, out, counters, log))));
+    duties.push(("guard", threads::body(move || guard::run(parts, inbox, out, counters, log))));
 
     let parts = PeersParts {
         own: own.clone(),
@@ -177,52 +179,57 @@
     };
     let (inbox, counters, log) = (rings.peers, Arc::clone(&metrics), logger.clone());
     let out = rings.from_peers;
-    bodies.push(("peers", threads::body(move || peers::run(parts, inbox, out, counters, log))));
+    duties.push(("peers", threads::body(move || peers::run(parts, inbox, out, counters, log))));
 
-    let source = if deployed.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
+    let source = if deployment_listeners.is_some() {
+        ConfigSource::Operator
+    } else {
+        ConfigSource::Published
+    };
     let first_start = settings.first_start;
     let parts = DurableParts { client, own, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
-    bodies
+    duties
         .push(("platform", threads::body(move || durable::run(parts, inbox, out, counters, log))));
 
-    let (stop, stopped) = oneshot::channel();
+    let (stop, stop_requested) = oneshot::channel();
     let plan = stop::stop_plan(settings, terms);
-    let duty = (settings.host.clone(), rings.from_admin, metrics);
+    let admin_inputs = (settings.host.clone(), rings.from_admin, metrics);
     let (inbox, reports) = (rings.admin, rings.reports);
-    let (handled, handles_signals) = std::sync::mpsc::channel();
+    let (signals_ready, wait_for_signals) = std::sync::mpsc::channel();
     let body = move || async move {
-        let Some(mut signals) = DaemonSignals::catch(&logger) else { return };
-        _ = handled.send(());
-        let duty = AdminDuty::new(duty.0, duty.1, duty.2);
+        let Some(mut signals) = DaemonSignals::register(&logger) else { return };
+        _ = signals_ready.send(());
+        let duty = AdminDuty::new(admin_inputs.0, admin_inputs.1, admin_inputs.2);
         let Ok(listener) = tokio::net::TcpListener::from_std(admin) else { return };
         spawn_local(std::rc::Rc::clone(&duty).serve(listener));
-        spawn_local(std::rc::Rc::clone(&duty).hear(inbox));
-        if let Some(deployed) = deployed
-            && let Err(error) = deployed.serve(adapter, readiness, reports)
+        spawn_local(std::rc::Rc::clone(&duty).handle_events(inbox));
+        if let Some(listeners) = deployment_listeners
+            && let Err(error) = listeners.serve(adapter, readiness, reports)
         {
             warn!(logger, "can't serve the platform"; "error" => %error);
             return;
         }
         info!(logger, "started"; "incarnation" => incarnation.0, "terms" => ?terms);
-        let reloading = Reloading { reload, adapter, in_force: terms };
-        let DaemonSignals { terminate, interrupt, hang_up } = &mut signals;
+        let reloader = SettingsReloader { reload, adapter, current_terms: terms };
+        let DaemonSignals { terminate, interrupt, hangup } = &mut signals;
         tokio::select! {
-            () = stop::wait_for_stop(terminate, interrupt, stopped) => {}
-            () = reload::reload_always(reloading, hang_up, &duty.rings, &logger) => {}
+            () = stop::wait_for_stop(terminate, interrupt, stop_requested) => {}
+            () = reload::run_reloads(reloader, hangup, &duty.rings, &logger) => {}
         }
-        stop::stop_all(&duty.rings, plan, &logger).await;
+        stop::stop_duties(&duty.rings, plan, &logger).await;
     };
-    bodies.push(("admin", threads::body(body)));
-    let admin = threads::spawn_all(bodies, settings.one_thread).context(ThreadSnafu)?;
-    // Whoever is told where the daemon listens may signal to it. Fails only if the duty
-    // ended, which the handle shows.
-    _ = handles_signals.recv();
-    Ok(RunningDaemon { addresses, stop: Some(stop), admin, log_tail })
+    duties.push(("admin", threads::body(body)));
+    let admin_thread = threads::spawn_all(duties, settings.one_thread).context(ThreadSnafu)?;
+    // A caller that knows the daemon's addresses may send it a signal, so the signal
+    // handlers must be registered before this returns. Receiving fails only if the admin
+    // duty ended; then `RunningDaemon::wait` returns at once.
+    _ = wait_for_signals.recv();
+    Ok(RunningDaemon { addresses, stop: Some(stop), admin_thread, log_tail })
 }
 
-fn own_record(settings: &DaemonSettings, addresses: &DaemonAddresses) -> MemberRecord {
+fn initial_record(settings: &DaemonSettings, addresses: &DaemonAddresses) -> MemberRecord {
     MemberRecord {
         host: settings.host.clone(),
         data_centre: settings.data_centre.clone(),
--- a/src/process/httpd.rs
+++ b/src/process/httpd.rs
@@ -1,4 +1,4 @@
-//! Small HTTP services of a daemon: for operators, targets and the platform.
+//! HTTP server for the small interfaces to operators, targets and the platform.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,10 +19,10 @@
 use crate::base::consts::SLOW_SENDER;
 use crate::base::socket::LingeringSocket;
 
-/// Longest body that these services take, in bytes.
+/// Longest request body that these interfaces accept, in bytes.
 const MAX_BODY: usize = 64 << 10;
 
-/// Serves a handler until the runtime ends.
+/// Serves connections with a handler until the runtime ends.
 pub(crate) async fn serve<F, Fut>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> Fut + 'static,
@@ -40,40 +40,43 @@
     F: Fn(Request<Incoming>) -> Fut + 'static,
     Fut: Future<Output = Response<Full<Bytes>>> + 'static,
 {
-    let answer = service_fn(move |request| {
-        let answered = handler(request);
-        async move { Ok::<_, Infallible>(answered.await) }
+    let service = service_fn(move |request| {
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(SLOW_SENDER)
-        .serve_connection(TokioIo::new(LingeringSocket::open(socket)), answer);
-    // A broken connection is the asker's own affair.
+        .serve_connection(TokioIo::new(LingeringSocket::open(socket)), service);
+    // An error on the connection concerns only its client.
     drop(connection.await);
 }
 
-/// Reads a short body; `Err` is the answer to a bad one.
-pub(crate) async fn read(request: Request<Incoming>) -> Result<Bytes, Response<Full<Bytes>>> {
+/// Reads a request body; `Err` is the response to a body that is too long, broken
+/// or too slow.
+pub(crate) async fn read_body(request: Request<Incoming>) -> Result<Bytes, Response<Full<Bytes>>> {
     let body = timeout(SLOW_SENDER, Limited::new(request.into_body(), MAX_BODY).collect()).await;
     match body {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) => Err(fault(StatusCode::BAD_REQUEST, &error.to_string())),
-        Err(_elapsed) => Err(fault(StatusCode::REQUEST_TIMEOUT, "body too slow")),
+        Ok(Err(error)) => Err(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
+        Err(_elapsed) => {
+            Err(error_response(StatusCode::REQUEST_TIMEOUT, "request body was sent too slowly"))
+        }
     }
 }
 
-/// Makes the answer of a duty that is too busy.
-pub(crate) fn busy() -> Response<Full<Bytes>> {
-    fault(StatusCode::SERVICE_UNAVAILABLE, "the daemon is busy")
+/// Creates the response for a duty that is too busy.
+pub(crate) fn busy_response() -> Response<Full<Bytes>> {
+    error_response(StatusCode::SERVICE_UNAVAILABLE, "the daemon is too busy")
 }
 
-/// Makes an answer that tells what is wrong.
-pub(crate) fn fault(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
-    to_json(status, &json!({"error": text}))
+/// Creates a JSON response with an error message.
+pub(crate) fn error_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+    json_response(status, &json!({"error": text}))
 }
 
-/// Makes an answer of a value.
-pub(crate) fn to_json<T: Serialize>(status: StatusCode, value: &T) -> Response<Full<Bytes>> {
+/// Creates a JSON response from a value.
+pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Full<Bytes>> {
     let text = serde_json::to_vec_pretty(value).unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
--- a/src/process/listen.rs
+++ b/src/process/listen.rs
@@ -1,4 +1,4 @@
-//! The addresses that a daemon listens at.
+//! Listeners and sockets of a daemon, and their addresses.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -15,72 +15,72 @@
 use crate::process::control;
 use crate::process::settings::{DaemonSettings, DeploymentSettings};
 
-/// Tries to find a port that is free for TCP and UDP alike.
-const PORT_TRIES: u32 = 32;
+/// Largest number of attempts to find a port that is free for both TCP and UDP.
+const MAX_PORT_ATTEMPTS: u32 = 32;
 
-/// Why a daemon did not start.
+/// Reason why a daemon could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
-    /// An address can't be had.
+    /// An address can't be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
-        /// The address of the settings.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A thread can't be had.
+    /// A thread can't be started.
     #[snafu(display("can't start a thread: {source}"))]
     Thread {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A counter can't be registered.
+    /// A metric can't be registered.
     #[snafu(display("can't register metrics: {source}"))]
     Metrics {
-        /// What the library said.
+        /// Error of the metrics library.
         source: prometheus::Error,
     },
 }
 
-/// Where a running daemon listens.
+/// Addresses at which a running daemon listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonAddresses {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostName,
-    /// For callers.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// For other daemons' entries.
+    /// Address for the entries of other daemons.
     pub guard: SocketAddr,
-    /// For gossip.
+    /// Address for gossip.
     pub peer: SocketAddr,
-    /// For operators and the host's targets.
+    /// Address for operators and the host's targets.
     pub admin: SocketAddr,
-    /// For the platform's question whether it is ready, if deployed on one.
+    /// Address for the platform's readiness checks, in a deployment.
     pub ready: Option<SocketAddr>,
-    /// For the reports of the host's target, if deployed on a platform.
+    /// Address for the reports of the host's target, in a deployment.
     pub control: Option<SocketAddr>,
 }
 
-/// A daemon's listeners for its deployment's platform.
-pub(crate) struct DeployedListeners {
+/// Listeners for a deployment's platform and the host's target.
+pub(crate) struct DeploymentListeners {
     pub(crate) ready: TcpListener,
     pub(crate) control: TcpListener,
 }
 
-/// Everything of a daemon that is bound to an address.
+/// All bound listeners and sockets of a daemon.
 pub(crate) struct DaemonListeners {
     pub(crate) caller: TcpListener,
     pub(crate) admin: TcpListener,
     pub(crate) guard: (TcpListener, UdpSocket),
     pub(crate) peer: (TcpListener, UdpSocket),
     pub(crate) probe: UdpSocket,
-    pub(crate) deployed: Option<DeployedListeners>,
+    pub(crate) deployment: Option<DeploymentListeners>,
 }
 
-impl DeployedListeners {
-    /// Serves the platform until the runtime ends.
+impl DeploymentListeners {
+    /// Serves the platform and the host's target until the runtime ends.
     pub(crate) fn serve(
         self,
         adapter: &'static DeploymentAdapter,
@@ -89,7 +89,7 @@
     ) -> io::Result<()> {
         let ready = tokio::net::TcpListener::from_std(self.ready)?;
         let control = tokio::net::TcpListener::from_std(self.control)?;
-        spawn_local(control::serve_ready(ready, adapter, readiness));
+        spawn_local(control::serve_readiness(ready, adapter, readiness));
         spawn_local(control::serve_reports(control, adapter, reports));
         Ok(())
     }
@@ -98,12 +98,12 @@
 pub(crate) fn bind_all(settings: &DaemonSettings) -> Result<DaemonListeners, StartError> {
     let deployment = settings.deployment.as_ref();
     Ok(DaemonListeners {
-        caller: listen(settings.caller_address)?,
-        admin: listen(settings.admin_address)?,
-        guard: listen_both(settings.guard_address)?,
-        peer: listen_both(settings.peer_address)?,
+        caller: bind_tcp(settings.caller_address)?,
+        admin: bind_tcp(settings.admin_address)?,
+        guard: bind_tcp_and_udp(settings.guard_address)?,
+        peer: bind_tcp_and_udp(settings.peer_address)?,
         probe: bind_udp(SocketAddr::new(settings.guard_address.ip(), 0))?,
-        deployed: deployment.map(listen_deployed).transpose()?,
+        deployment: deployment.map(bind_deployment).transpose()?,
     })
 }
 
@@ -111,30 +111,33 @@
     settings: &DaemonSettings,
     listeners: &DaemonListeners,
 ) -> Result<DaemonAddresses, StartError> {
-    let deployed = listeners.deployed.as_ref();
+    let bound = listeners.deployment.as_ref();
     let deployment = settings.deployment.as_ref();
-    let ready = deployed.zip(deployment).map(|(own, set)| local(&own.ready, set.ready_address));
-    let control =
-        deployed.zip(deployment).map(|(own, set)| local(&own.control, set.control_address));
+    let ready = bound
+        .zip(deployment)
+        .map(|(bound, settings)| local_address(&bound.ready, settings.ready_address));
+    let control = bound
+        .zip(deployment)
+        .map(|(bound, settings)| local_address(&bound.control, settings.control_address));
     Ok(DaemonAddresses {
         host: settings.host.clone(),
-        caller: local(&listeners.caller, settings.caller_address)?,
-        guard: local(&listeners.guard.0, settings.guard_address)?,
-        peer: local(&listeners.peer.0, settings.peer_address)?,
-        admin: local(&listeners.admin, settings.admin_address)?,
+        caller: local_address(&listeners.caller, settings.caller_address)?,
+        guard: local_address(&listeners.guard.0, settings.guard_address)?,
+        peer: local_address(&listeners.peer.0, settings.peer_address)?,
+        admin: local_address(&listeners.admin, settings.admin_address)?,
         ready: ready.transpose()?,
         control: control.transpose()?,
     })
 }
 
-fn listen_deployed(deployment: &DeploymentSettings) -> Result<DeployedListeners, StartError> {
-    Ok(DeployedListeners {
-        ready: listen(deployment.ready_address)?,
-        control: listen(deployment.control_address)?,
+fn bind_deployment(deployment: &DeploymentSettings) -> Result<DeploymentListeners, StartError> {
+    Ok(DeploymentListeners {
+        ready: bind_tcp(deployment.ready_address)?,
+        control: bind_tcp(deployment.control_address)?,
     })
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
+fn bind_tcp(address: SocketAddr) -> Result<TcpListener, StartError> {
     let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
     listener.set_nonblocking(true).context(ListenSnafu { address })?;
     Ok(listener)
@@ -147,20 +150,20 @@
 }
 
 /// Binds one port for TCP and UDP.
-fn listen_both(address: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
-    let mut tries = 0;
+fn bind_tcp_and_udp(address: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
+    let mut attempts = 0;
     loop {
-        let listener = listen(address)?;
-        tries += 1;
-        match bind_udp(local(&listener, address)?) {
+        let listener = bind_tcp(address)?;
+        attempts += 1;
+        match bind_udp(local_address(&listener, address)?) {
             Ok(socket) => return Ok((listener, socket)),
-            // The system chose the port: let it choose another.
-            Err(_taken) if address.port() == 0 && tries < PORT_TRIES => {}
+            // The operating system chose the port: let it choose another one.
+            Err(_taken) if address.port() == 0 && attempts < MAX_PORT_ATTEMPTS => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
     listener.local_addr().context(ListenSnafu { address })
 }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,6 +1,7 @@
-//! The daemon as a process: start, settings, addresses, reload, planned stop.
+//! The daemon process: start, settings, listeners, reload and planned stop.
 //!
-//! `daemon` puts the duties together; `adapter` is what a deployment's platform fills in.
+//! `daemon` starts the duties and connects them; `adapter` is the interface that a
+//! deployment's platform implements.
 
 pub(crate) mod adapter;
 pub(crate) mod admin;
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a daemon runs.
+//! Reload of settings while a daemon runs.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use crate::process::admin::AdminRings;
 use crate::process::settings::DaemonSettings;
 
-/// Part of the fleet's further tries that the daemons share out.
+/// Fraction of the fleet's allowed retries that is divided among the daemons.
 ///
-/// The rest is left for what a window's edges and repeated inner calls add.
-const RETRY_PART: f64 = 0.5;
+/// The rest is a reserve for retries at the edges of a window and for repeated inner calls.
+const RETRY_FRACTION: f64 = 0.5;
 
-/// Time between two looks at settings that may have changed without a signal.
-const SETTINGS_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the settings are read again without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Returns a daemon's part of the further tries that the terms allow.
+/// Returns a daemon's share of the retries that the terms allow.
 pub(crate) fn retry_share(terms: Option<DeploymentTerms>) -> RetryShare {
     terms.map_or_else(RetryShare::default, |terms| RetryShare {
-        earned: terms.retry_ratio * RETRY_PART,
-        saved: terms.retry_slack * RETRY_PART,
+        earned: terms.retry_ratio * RETRY_FRACTION,
+        saved: terms.retry_slack * RETRY_FRACTION,
         divided: true,
     })
 }
 
-/// Reads the terms of a deployment; what can't be read is told and left out.
+/// Parses the terms of a deployment; terms that can't be parsed are logged and skipped.
 pub(crate) fn parse_terms(
     adapter: &DeploymentAdapter,
     text: &str,
@@ -37,53 +37,55 @@
 ) -> DeploymentTerms {
     let parsed = (adapter.parse_terms)(text);
     for error in &parsed.errors {
-        warn!(logger, "term unreadable"; "why" => error);
+        warn!(logger, "invalid term"; "why" => error);
     }
     parsed.terms
 }
 
-/// What a reload needs.
-pub(crate) struct Reloading {
+/// Inputs and state of reloads.
+pub(crate) struct SettingsReloader {
     pub(crate) reload: Box<dyn Fn() -> Result<DaemonSettings, FindingList> + Send>,
     pub(crate) adapter: &'static DeploymentAdapter,
-    pub(crate) in_force: Option<DeploymentTerms>,
+    /// Terms that the duties use now.
+    pub(crate) current_terms: Option<DeploymentTerms>,
 }
 
-/// Takes over changed settings, upon a signal and now and then without one.
+/// Reloads the settings on every hangup signal, and at an interval without one.
 ///
-/// Of a running daemon only the deployment's terms change; addresses are
-/// bound for its life. Settings that can't be read leave the old in force.
-pub(crate) async fn reload_always(
-    mut reloading: Reloading,
-    hang_up: &mut Signal,
+/// Only the deployment's terms of a running daemon can change; its addresses stay bound.
+/// If the settings can't be read, the previous ones stay in force.
+pub(crate) async fn run_reloads(
+    mut reloader: SettingsReloader,
+    hangup: &mut Signal,
     rings: &AdminRings,
     logger: &Logger,
 ) {
     loop {
         let signalled = tokio::select! {
-            _ = hang_up.recv() => true,
-            () = tokio::time::sleep(SETTINGS_EVERY) => false,
+            _ = hangup.recv() => true,
+            () = tokio::time::sleep(RELOAD_INTERVAL) => false,
         };
-        let settings = match (reloading.reload)() {
+        let settings = match (reloader.reload)() {
             Ok(settings) => settings,
             Err(findings) => {
-                warn!(logger, "settings refused"; "findings" => %findings);
+                warn!(logger, "invalid settings"; "findings" => %findings);
                 continue;
             }
         };
         let deployment = settings.deployment.as_ref();
-        let terms = deployment.map(|set| parse_terms(reloading.adapter, &set.terms, logger));
-        let changed = terms != reloading.in_force;
+        let terms =
+            deployment.map(|deployment| parse_terms(reloader.adapter, &deployment.terms, logger));
+        let changed = terms != reloader.current_terms;
         if changed || signalled {
             info!(logger, "settings reloaded"; "signalled" => signalled, "changed" => changed);
         }
         if let Some(terms) = terms.filter(|_terms| changed) {
             let DeploymentTerms { target_lease: lease, cold, quota, .. } = terms;
             let retries = retry_share(Some(terms));
-            let entry = rings.entry.push(EntryEvent::Terms { retries, quota }).is_ok();
-            let guard = rings.guard.push(GuardEvent::Terms { lease, cold, quota }).is_ok();
-            if entry && guard {
-                reloading.in_force = Some(terms);
+            let entry_sent = rings.entry.push(EntryEvent::Terms { retries, quota }).is_ok();
+            let guard_sent = rings.guard.push(GuardEvent::Terms { lease, cold, quota }).is_ok();
+            if entry_sent && guard_sent {
+                reloader.current_terms = Some(terms);
             }
         }
     }
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon.
+//! Settings of a daemon.
 
 use std::net::SocketAddr;
 
@@ -8,82 +8,83 @@
 use crate::base::ids::{CentreName, HostName, ServiceName};
 use crate::rules::schema::{CheckedText, FieldKind, FieldRule};
 
-/// What a daemon learns from its settings file.
+/// Contents of a daemon's settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DaemonSettings {
-    /// The host's name; unique in the fleet.
+    /// Name of the host; unique in the fleet.
     pub host: HostName,
-    /// The host's data centre.
+    /// Data centre of the host.
     pub data_centre: CentreName,
-    /// Where callers connect, by HTTP.
+    /// Address at which callers connect, by HTTP.
     pub caller_address: SocketAddr,
-    /// Where other daemons' entries connect, by h2.
+    /// Address at which the entries of other daemons connect, by HTTP/2.
     pub guard_address: SocketAddr,
-    /// Where other daemons gossip, by UDP, and fetch, by h2 over TCP.
+    /// Address for gossip with other daemons, by UDP, and for fetches, by HTTP/2.
     pub peer_address: SocketAddr,
-    /// Where operators and the host's own targets connect, by HTTP.
+    /// Address at which operators and the host's own targets connect, by HTTP.
     pub admin_address: SocketAddr,
-    /// Where other daemons reach the guard, if not at the address it listens at,
-    /// as behind address translation.
+    /// Address at which other daemons reach the guard, if it differs from the one it
+    /// listens on, as with network address translation.
     #[serde(default)]
     pub advertised_guard_address: Option<SocketAddr>,
-    /// Where other daemons reach the peer duty, if not where it listens.
+    /// Address at which other daemons reach the peers duty, if it differs from the one it
+    /// listens on.
     #[serde(default)]
     pub advertised_peer_address: Option<SocketAddr>,
-    /// The platform's table service and object store.
+    /// Address of the platform's table service and object store.
     pub platform_address: SocketAddr,
-    /// Peers to try when the platform is down at start.
+    /// Peers to contact if the platform is down at start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Longest time a planned stop may take, in milliseconds.
+    /// Longest duration of a planned stop, in milliseconds.
     #[serde(default = "default_stop")]
     pub stop_bound_ms: u64,
-    /// What measuring the targets may cost.
+    /// Budget of load probes.
     #[serde(default)]
     pub probe_budget: BudgetSettings,
-    /// Whether one thread serves all duties, for hosts with a part of a core.
+    /// Whether one thread runs all duties, for hosts with a fraction of a core.
     #[serde(default)]
     pub one_thread: bool,
-    /// Whether the whole system starts for the first time, so that no daemon can
-    /// know another yet.
+    /// Whether the whole fleet starts for the first time, so that no daemon can know
+    /// another one yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Set where a platform's adapter is used.
+    /// Settings of the deployment, if a platform's adapter is used.
     #[serde(default)]
     pub deployment: Option<DeploymentSettings>,
-    /// Seed of the random numbers, or none to draw one.
+    /// Seed of the random number generators; drawn at random if absent.
     #[serde(default)]
     pub seed: Option<u64>,
 }
 
-/// What a daemon learns of the platform that it is deployed on.
+/// Settings of a daemon that is deployed on a platform.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DeploymentSettings {
-    /// The service of the host's target.
+    /// Service of the host's target.
     pub service: ServiceName,
-    /// Where the host's target listens.
+    /// Address at which the host's target listens.
     #[serde(default)]
     pub target_address: Option<SocketAddr>,
-    /// Where the platform asks for readiness, by HTTP.
+    /// Address at which the platform polls for readiness, by HTTP.
     pub ready_address: SocketAddr,
-    /// Where the host's target reports, by HTTP.
+    /// Address at which the host's target reports, by HTTP.
     pub control_address: SocketAddr,
-    /// The platform's terms, as its adapter reads them.
+    /// Terms of the platform, in the form that its adapter parses.
     pub terms: String,
-    /// What a thousand bytes between data centres cost, in thousandths of the
-    /// benefit of one call.
+    /// Cost of sending 1000 bytes between data centres, in thousandths of one call's
+    /// benefit.
     #[serde(default)]
     pub crossing_cost: u32,
 }
 
-/// The set budget of measuring messages; none by default.
+/// Budget of load probes; zero by default.
 ///
-/// Loads travel on every answer anyway; docs/design/policy.md has the figures.
+/// Every answer carries a load report anyway; docs/design/policy.md has the figures.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct BudgetSettings {
-    /// Messages in a second, at most.
+    /// Maximum number of messages per second.
     pub messages_per_s: u32,
-    /// Bytes in a second, at most.
+    /// Maximum number of bytes per second.
     pub bytes_per_s: u32,
 }
 
@@ -125,12 +126,11 @@
 ];
 
 impl DaemonSettings {
-    /// Reads the settings of a file.
+    /// Reads and parses a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every finding, each with its place; a file that can't be read
-    /// is one.
+    /// Returns all findings, each with its position; a file that can't be read is one.
     pub fn open(file: &str) -> Result<Self, FindingList> {
         match std::fs::read_to_string(file) {
             Ok(text) => Self::parse(file, &text),
@@ -138,16 +138,16 @@
         }
     }
 
-    /// Reads a settings file.
+    /// Parses the text of a settings file; `file` is its name in findings.
     ///
     /// # Errors
     ///
-    /// Returns every finding, each with its place.
+    /// Returns all findings, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, FindingList> {
         let mut checked = CheckedText::open(file, text, RULES);
         let options = jsonc_parser::ParseOptions::default();
-        let read = jsonc_parser::parse_to_serde_value::<Self>(text, &options);
-        match read {
+        let parsed = jsonc_parser::parse_to_serde_value::<Self>(text, &options);
+        match parsed {
             Ok(settings) if checked.findings.is_empty() => Ok(settings),
             Err(error) if checked.findings.is_empty() => {
                 checked.add_at("", &error.to_string());
@@ -158,10 +158,10 @@
     }
 }
 
-/// Tells whether a file holds settings rather than templates.
+/// Returns whether a file contains settings rather than templates.
 #[must_use]
 pub fn is_settings(text: &str) -> bool {
     let keys = crate::rules::schema::top_keys(text);
-    let template_key = |key: &String| key == "services" || key == "accounts";
-    !keys.iter().any(template_key)
+    let is_template_key = |key: &String| key == "services" || key == "accounts";
+    !keys.iter().any(is_template_key)
 }
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -1,32 +1,34 @@
-//! The signals that a daemon handles.
+//! Signals that a daemon handles.
 
 use std::io;
 
 use slog::{Logger, warn};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a daemon is told by its process's signals.
+/// Streams of the signals that the process receives.
 ///
-/// Invariant: from [`Self::catch`] on none of them ends the process by its default.
+/// Invariant: after [`Self::register`], none of the signals has its default action of ending
+/// the process.
 #[derive(Debug)]
 pub(crate) struct DaemonSignals {
-    /// Stop as planned.
+    /// `SIGTERM`, which starts a planned stop.
     pub(crate) terminate: Signal,
+    /// `SIGINT`, which starts a planned stop.
     pub(crate) interrupt: Signal,
-    /// The settings may have changed.
-    pub(crate) hang_up: Signal,
+    /// `SIGHUP`, which reloads the settings.
+    pub(crate) hangup: Signal,
 }
 
 impl DaemonSignals {
-    /// Handles the signals from now on; nothing where the system does not let it.
-    pub(crate) fn catch(logger: &Logger) -> Option<Self> {
-        let handle = || -> io::Result<Self> {
+    /// Registers the signal handlers; returns `None` if the operating system refuses.
+    pub(crate) fn register(logger: &Logger) -> Option<Self> {
+        let register = || -> io::Result<Self> {
             Ok(Self {
                 terminate: signal(SignalKind::terminate())?,
                 interrupt: signal(SignalKind::interrupt())?,
-                hang_up: signal(SignalKind::hangup())?,
+                hangup: signal(SignalKind::hangup())?,
             })
         };
-        handle().map_err(|error| warn!(logger, "can't handle signals"; "error" => %error)).ok()
+        register().map_err(|error| warn!(logger, "can't handle signals"; "error" => %error)).ok()
     }
 }
--- a/src/process/stop.rs
+++ b/src/process/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a daemon.
+//! Planned stop of a daemon.
 
 use std::time::Duration;
 
@@ -11,83 +11,85 @@
 use crate::process::admin::AdminRings;
 use crate::process::settings::DaemonSettings;
 
-/// Time for the good-bye to reach some peers.
-const GOODBYE: Duration = Duration::from_millis(300);
+/// Time for the leave message to reach some peers.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait to withdraw from the table.
-const WITHDRAW: Duration = Duration::from_secs(2);
+/// Longest wait for the member row to be removed from the platform's table.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Part of the time between a stop signal and a kill in which callers are
-/// asked to go elsewhere: longer than the platform takes to notice.
-const LINGER_PART: f64 = 0.5;
+/// Fraction of the time between a stop signal and a kill during which callers are asked to
+/// use another daemon: longer than the platform takes to notice that this one isn't ready.
+const DRAIN_FRACTION: f64 = 0.5;
 
-/// Part of that time after which all calls must have ended.
-const STOP_PART: f64 = 0.85;
+/// Fraction of that time after which all calls must have ended.
+const STOP_FRACTION: f64 = 0.85;
 
-/// How long a planned stop may take.
+/// Time limits of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StopPlan {
-    /// Time for callers to go elsewhere, while those that come are served.
-    pub(crate) linger: Duration,
-    /// Time after which calls under way are given up.
-    pub(crate) bound: Duration,
+    /// Time during which callers are asked to use another daemon but are still served.
+    pub(crate) drain: Duration,
+    /// Time after which calls in progress are abandoned; includes `drain`.
+    pub(crate) limit: Duration,
 }
 
-/// Returns how long a stop may take, by the deployment's terms or the settings.
+/// Returns the time limits of a stop, from the deployment's terms or the settings.
 pub(crate) fn stop_plan(settings: &DaemonSettings, terms: Option<DeploymentTerms>) -> StopPlan {
     match terms {
         Some(terms) => StopPlan {
-            linger: terms.grace.mul_f64(LINGER_PART),
-            bound: terms.grace.mul_f64(STOP_PART),
-        },
-        None => StopPlan {
-            linger: Duration::ZERO,
-            bound: Duration::from_millis(settings.stop_bound_ms),
+            drain: terms.grace.mul_f64(DRAIN_FRACTION),
+            limit: terms.grace.mul_f64(STOP_FRACTION),
         },
+        None => {
+            StopPlan { drain: Duration::ZERO, limit: Duration::from_millis(settings.stop_bound_ms) }
+        }
     }
 }
 
-/// Waits for a signal, or for the handle's request.
+/// Waits for a stop signal, or for a request by [`RunningDaemon::stop`].
+///
+/// [`RunningDaemon::stop`]: crate::process::daemon::RunningDaemon::stop
 pub(crate) async fn wait_for_stop(
     terminate: &mut Signal,
     interrupt: &mut Signal,
-    stopped: oneshot::Receiver<()>,
+    stop_requested: oneshot::Receiver<()>,
 ) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        Ok(()) = stopped => {}
+        Ok(()) = stop_requested => {}
     }
 }
 
-/// Stops all duties in order: say good-bye, finish the calls, withdraw.
-pub(crate) async fn stop_all(rings: &AdminRings, plan: StopPlan, logger: &Logger) {
-    let StopPlan { linger, bound } = plan;
-    info!(logger, "planned stop"; "bound_ms" => bound.as_millis() as u64);
-    let (said, goodbye) = oneshot::channel();
-    let leave = rings.peers.push(PeersEvent::Leave(said)).is_ok();
-    // Beside the rest: a platform that is away must not hold up the end.
-    let (withdrawn, gone) = oneshot::channel();
-    let withdraw = rings.platform.push(PlatformEvent::Leave(withdrawn)).is_ok();
+/// Stops all duties: announces the leave to the peers, finishes the calls, and removes the
+/// member row.
+pub(crate) async fn stop_duties(rings: &AdminRings, plan: StopPlan, logger: &Logger) {
+    let StopPlan { drain, limit } = plan;
+    info!(logger, "planned stop"; "bound_ms" => limit.as_millis() as u64);
+    let (leave_done, left) = oneshot::channel();
+    let leave_sent = rings.peers.push(PeersEvent::Leave(leave_done)).is_ok();
+    // Runs beside the other steps, so that an unavailable platform doesn't delay the stop.
+    let (withdraw_done, withdrawn) = oneshot::channel();
+    let withdraw_sent = rings.platform.push(PlatformEvent::Leave(withdraw_done)).is_ok();
     if rings.entry.push(EntryEvent::Withdraw).is_ok() {
-        tokio::time::sleep(linger).await;
+        tokio::time::sleep(drain).await;
     }
-    let bound = bound.saturating_sub(linger);
+    let limit = limit.saturating_sub(drain);
     let (entry_done, entry_stopped) = oneshot::channel();
     let (guard_done, guard_stopped) = oneshot::channel();
-    let entry = rings.entry.push(EntryEvent::Stop(entry_done)).is_ok();
-    let guard = rings.guard.push(GuardEvent::Stop(guard_done)).is_ok();
+    let entry_sent = rings.entry.push(EntryEvent::Stop(entry_done)).is_ok();
+    let guard_sent = rings.guard.push(GuardEvent::Stop(guard_done)).is_ok();
     let finished = async { tokio::join!(entry_stopped, guard_stopped) };
-    let in_time = tokio::time::timeout(bound, finished).await.is_ok();
+    let in_time = tokio::time::timeout(limit, finished).await.is_ok();
     if !in_time {
-        warn!(logger, "stop bound passed with calls under way");
+        warn!(logger, "stop limit reached with calls in progress");
     }
-    if leave {
-        drop(tokio::time::timeout(GOODBYE, goodbye).await);
-        tokio::time::sleep(GOODBYE.saturating_sub(linger)).await;
+    if leave_sent {
+        drop(tokio::time::timeout(LEAVE_TIMEOUT, left).await);
+        tokio::time::sleep(LEAVE_TIMEOUT.saturating_sub(drain)).await;
     }
-    if withdraw {
-        drop(tokio::time::timeout(WITHDRAW.saturating_sub(linger), gone).await);
+    if withdraw_sent {
+        drop(tokio::time::timeout(WITHDRAW_TIMEOUT.saturating_sub(drain), withdrawn).await);
     }
-    info!(logger, "stopped"; "entry" => entry, "guard" => guard, "in_time" => in_time);
+    info!(logger, "stopped"; "entry" => entry_sent, "guard" => guard_sent, "in_time" => in_time);
 }
