--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -117,13 +117,11 @@
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
     let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
-    let terms =
-        deployment.map(|deployment| reload::parse_terms(adapter, &deployment.terms, &logger));
+    let terms = deployment.map(|conf| reload::parse_terms(adapter, &conf.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
-    let DaemonListeners { caller, admin, guard, peer, probe, deployment: deployment_listeners } =
-        listeners;
+    let DaemonListeners { caller, admin, guard, peer, probe, platform } = listeners;
     let own = initial_record(settings, &addresses);
     let incarnation = own.incarnation;
     let rings = open_rings();
@@ -134,8 +132,7 @@
         seed,
         names,
         data_centre: settings.data_centre.clone(),
-        crossing_cost: deployment
-            .map_or(0.0, |deployment| f64::from(deployment.crossing_cost) / 1_000.0),
+        crossing_cost: deployment.map_or(0.0, |conf| f64::from(conf.crossing_cost) / 1_000.0),
         own_service: deployment.map(|deployment| deployment.service.clone()),
         retry_share: reload::retry_share(terms),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
@@ -181,11 +178,7 @@
     let out = rings.from_peers;
     duties.push(("peers", threads::body(move || peers::run(parts, inbox, out, counters, log))));
 
-    let source = if deployment_listeners.is_some() {
-        ConfigSource::Operator
-    } else {
-        ConfigSource::Published
-    };
+    let source = if platform.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
     let parts = DurableParts { client, own, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
@@ -205,7 +198,7 @@
         let Ok(listener) = tokio::net::TcpListener::from_std(admin) else { return };
         spawn_local(std::rc::Rc::clone(&duty).serve(listener));
         spawn_local(std::rc::Rc::clone(&duty).handle_events(inbox));
-        if let Some(listeners) = deployment_listeners
+        if let Some(listeners) = platform
             && let Err(error) = listeners.serve(adapter, readiness, reports)
         {
             warn!(logger, "can't serve the platform"; "error" => %error);
--- a/src/process/listen.rs
+++ b/src/process/listen.rs
@@ -64,7 +64,7 @@
 }
 
 /// Listeners for a deployment's platform and the host's target.
-pub(crate) struct DeploymentListeners {
+pub(crate) struct PlatformListeners {
     pub(crate) ready: TcpListener,
     pub(crate) control: TcpListener,
 }
@@ -76,10 +76,10 @@
     pub(crate) guard: (TcpListener, UdpSocket),
     pub(crate) peer: (TcpListener, UdpSocket),
     pub(crate) probe: UdpSocket,
-    pub(crate) deployment: Option<DeploymentListeners>,
+    pub(crate) platform: Option<PlatformListeners>,
 }
 
-impl DeploymentListeners {
+impl PlatformListeners {
     /// Serves the platform and the host's target until the runtime ends.
     pub(crate) fn serve(
         self,
@@ -103,7 +103,7 @@
         guard: bind_tcp_and_udp(settings.guard_address)?,
         peer: bind_tcp_and_udp(settings.peer_address)?,
         probe: bind_udp(SocketAddr::new(settings.guard_address.ip(), 0))?,
-        deployment: deployment.map(bind_deployment).transpose()?,
+        platform: deployment.map(bind_platform_listeners).transpose()?,
     })
 }
 
@@ -111,7 +111,7 @@
     settings: &DaemonSettings,
     listeners: &DaemonListeners,
 ) -> Result<DaemonAddresses, StartError> {
-    let bound = listeners.deployment.as_ref();
+    let bound = listeners.platform.as_ref();
     let deployment = settings.deployment.as_ref();
     let ready = bound
         .zip(deployment)
@@ -130,8 +130,10 @@
     })
 }
 
-fn bind_deployment(deployment: &DeploymentSettings) -> Result<DeploymentListeners, StartError> {
-    Ok(DeploymentListeners {
+fn bind_platform_listeners(
+    deployment: &DeploymentSettings,
+) -> Result<PlatformListeners, StartError> {
+    Ok(PlatformListeners {
         ready: bind_tcp(deployment.ready_address)?,
         control: bind_tcp(deployment.control_address)?,
     })
