--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -193,7 +193,7 @@
 struct UnknownToken;
 
 /// Returns the account of a routed request's token, or `None` if the request has no token
-/// or needs none; calls from targets have none.
+/// or its route checks none; calls from targets have no token.
 ///
 /// # Errors
 ///
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -34,8 +34,9 @@
     /// Returns the response to a call whose request is blamed for crashes, or `None` if the
     /// request may run.
     ///
-    /// The response has no retry delay, since a retry would be rejected too. It doesn't claim
-    /// that the call did not run if an attempt may have run before the request was blamed.
+    /// `final_step` is what the call would report if it ended now: the response doesn't claim
+    /// that the call did not run if an attempt may have run before the request was blamed. It
+    /// has no retry delay, since a retry would be rejected too.
     pub(super) fn reject_blamed(
         &self,
         call: &CallerCall,
--- a/src/call/responses.rs
+++ b/src/call/responses.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Creates the response to a call that did not run and may be retried.
+/// Creates the response to a call that did not run, with a retry delay.
 pub(crate) fn not_run(
     status: StatusCode,
     reason: &str,
@@ -167,7 +167,7 @@
     response
 }
 
-/// Creates the response to a call that did not run and would not run if retried.
+/// Creates the response to a call that did not run and would not run on a retry either.
 pub(crate) fn not_run_permanently(status: StatusCode, reason: &str) -> Response<ResponseBody> {
     generated_response(status, CallOutcome::NotRun, reason)
 }
@@ -242,7 +242,8 @@
 }
 
 fn set_retry_after(response: &mut Response<ResponseBody>, retry_after_ms: u32) {
-    // The entry derives `Retry-After` from it and removes it where callers don't use it.
+    // `EntryDuty::finish_head` derives `Retry-After` from this header, and removes it where
+    // callers don't use it.
     let headers = response.headers_mut();
     headers.insert(headers::RETRY_AFTER_MS, HeaderValue::from(retry_after_ms));
 }
