--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -183,7 +183,7 @@
                 *self.least_revision.borrow_mut() = Some(least_revision);
                 self.tell_readiness();
             }
-            EntryEvent::Terms { retries, quota } => {
+            EntryEvent::Settings { retries, quota } => {
                 self.retry_share.set(retries);
                 self.quotas.set_terms(quota);
                 self.retry_budgets.borrow_mut().clear();
@@ -226,7 +226,7 @@
 
     /// Tells the peers that a call did not reach a host, so that they look after it.
     pub(crate) fn tell_unreached(&self, host: &HostName) {
-        if self.peers.push(PeersEvent::Unreached(host.clone())).is_err() {
+        if self.peers.push(PeersEvent::HostUnreachable(host.clone())).is_err() {
             self.metrics.shed.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -102,7 +102,12 @@
         {
             info!(duty.logger, "target found"; "target" => %announcement.target);
             let cold = cold_left(&answer.headers, duty.names);
-            duty.take_report(TargetReport::Alive { announcement, born: None, sequence: 0, cold });
+            duty.take_report(TargetReport::Alive {
+                announcement,
+                started_at_ms: None,
+                sequence: 0,
+                cold_remaining: cold,
+            });
             return;
         }
         tokio::time::sleep(FIND_EVERY).await;
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -191,8 +191,8 @@
                 self.choose_quotas();
             }
             GuardEvent::Fleet(view) => self.adopt_view(view),
-            GuardEvent::Alone(alone) => self.note_alone(alone),
-            GuardEvent::Terms { lease, cold, quota } => {
+            GuardEvent::Isolated(alone) => self.note_alone(alone),
+            GuardEvent::Settings { lease, cold, quota } => {
                 self.target_lease.set(lease);
                 self.cold_terms.set(cold);
                 self.quotas.terms.set(quota);
--- a/src/call/guard/target_life.rs
+++ b/src/call/guard/target_life.rs
@@ -21,7 +21,12 @@
 impl GuardDuty {
     pub(crate) fn take_report(&self, report: TargetReport) {
         match report {
-            TargetReport::Alive { announcement, born, sequence, cold } => {
+            TargetReport::Alive {
+                announcement,
+                started_at_ms: born,
+                sequence,
+                cold_remaining: cold,
+            } => {
                 if !self.is_named(&announcement.service) {
                     warn!(self.logger, "service unknown"; "target" => %announcement.target,
                         "service" => %announcement.service);
@@ -32,7 +37,7 @@
                     self.hear_cold(&key, cold, ColdSource::Heartbeat);
                 }
             }
-            TargetReport::Left { name, born } => self.end_target(&name, born),
+            TargetReport::Leaving { name, started_at_ms: born } => self.end_target(&name, born),
         }
     }
 
@@ -205,7 +210,7 @@
         });
         let mut notices: Vec<TargetNotice> = notices.collect();
         notices.sort_by(|a, b| a.name.cmp(&b.name));
-        if self.rings.peers.push(PeersEvent::Local(notices)).is_err() {
+        if self.rings.peers.push(PeersEvent::LocalTargets(notices)).is_err() {
             self.metrics.shed.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 
 use crate::base::findings::{FileFinding, FindingList, TextPlace};
-use crate::command::output::{self, CommandEnd, CommandOutput};
+use crate::command::output::{self, CommandExit, CommandOutput};
 use crate::process::settings::{DaemonSettings, is_settings};
 use crate::rules::config::FleetConfig;
 
@@ -72,5 +72,5 @@
 /// Makes the end of a command whose files have findings.
 pub(crate) fn report(findings: &FindingList, json: bool) -> CommandOutput {
     let text = if json { output::to_json(&findings.0) } else { findings.to_string() };
-    CommandOutput::new(CommandEnd::BadInput, text)
+    CommandOutput::new(CommandExit::BadInput, text)
 }
--- a/src/command/cli.rs
+++ b/src/command/cli.rs
@@ -8,7 +8,7 @@
 use crate::command::drain::DrainOptions;
 use crate::command::dump::DumpOptions;
 use crate::command::forgive::ForgiveOptions;
-use crate::command::output::{CommandEnd, CommandOutput};
+use crate::command::output::{CommandExit, CommandOutput};
 use crate::command::publish::PublishOptions;
 use crate::command::status::StatusOptions;
 use crate::command::targets::TargetsOptions;
@@ -58,13 +58,13 @@
     let Some(command) = options.command else {
         eprintln!("expected a command\n\n{}", CommandOptions::usage());
         eprintln!("\nCommands:\n{}", OperatorCommand::usage());
-        return ExitCode::from(CommandEnd::BadInput as u8);
+        return ExitCode::from(CommandExit::BadInput as u8);
     };
     let output = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(execute(command)),
-        Err(error) => CommandOutput::new(CommandEnd::Unreachable, error.to_string()),
+        Err(error) => CommandOutput::new(CommandExit::Unreachable, error.to_string()),
     };
-    if output.end == CommandEnd::Done {
+    if output.end == CommandExit::Done {
         println!("{}", output.text);
     } else {
         eprintln!("{}", output.text);
--- a/src/command/dump.rs
+++ b/src/command/dump.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::command::operator::{self, daemon_address};
-use crate::command::output::{self, CommandEnd, CommandOutput};
+use crate::command::output::{self, CommandExit, CommandOutput};
 
 /// Duties whose state a dump has.
 const PARTS: [&str; 4] = ["entry", "guard", "peers", "platform"];
@@ -31,7 +31,7 @@
         && !PARTS.contains(&part)
     {
         let text = format!("expected a part of {}, not `{part}`", PARTS.join(", "));
-        return CommandOutput::new(CommandEnd::BadInput, text);
+        return CommandOutput::new(CommandExit::BadInput, text);
     }
     let mut state = match operator::dump(daemon_address(options.daemon)).await {
         Ok(state) => state,
--- a/src/command/forgive.rs
+++ b/src/command/forgive.rs
@@ -6,7 +6,7 @@
 
 use crate::base::digest::RequestDigest;
 use crate::command::operator::{self, daemon_address};
-use crate::command::output::{CommandEnd, CommandOutput};
+use crate::command::output::{CommandExit, CommandOutput};
 
 #[derive(Debug, Options)]
 pub(crate) struct ForgiveOptions {
@@ -23,7 +23,7 @@
 pub(crate) async fn run(options: &ForgiveOptions) -> CommandOutput {
     let Some(digest) = RequestDigest::parse(&options.digest) else {
         let text = format!("`{}` is no digest: expected 32 hexadecimal digits", options.digest);
-        return CommandOutput::new(CommandEnd::BadInput, text);
+        return CommandOutput::new(CommandExit::BadInput, text);
     };
     match operator::forgive(daemon_address(options.daemon), digest).await {
         Ok(()) => CommandOutput::done(format!("{digest} may reach targets again")),
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) mod output;
 pub(crate) mod progress;
 pub(crate) mod publish;
+pub(crate) mod request_trace;
 pub(crate) mod status;
-pub(crate) mod story;
 pub(crate) mod targets;
 pub(crate) mod trace;
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -62,7 +62,7 @@
 
 /// One target as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct TargetLine {
+pub struct TargetStatus {
     /// Its service.
     pub service: ServiceName,
     /// Its name.
@@ -135,11 +135,11 @@
 /// # Errors
 ///
 /// Fails when the daemon can't be reached.
-pub async fn list_targets(daemon: SocketAddr) -> Result<Vec<TargetLine>, OperatorError> {
+pub async fn list_targets(daemon: SocketAddr) -> Result<Vec<TargetStatus>, OperatorError> {
     let view = read_members(daemon).await?;
     let mut lines = Vec::new();
     for member in &view.members {
-        lines.extend(member.targets.iter().map(|target| TargetLine {
+        lines.extend(member.targets.iter().map(|target| TargetStatus {
             service: target.service.clone(),
             target: target.name.clone(),
             host: member.host.clone(),
--- a/src/command/output.rs
+++ b/src/command/output.rs
@@ -6,7 +6,7 @@
 
 /// How a command ended, as its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CommandEnd {
+pub(crate) enum CommandExit {
     /// Done.
     Done = 0,
     /// Refused: a conflict, or no such thing. Nothing changed.
@@ -22,26 +22,26 @@
 /// What a command prints, and how it ended.
 #[derive(Debug)]
 pub(crate) struct CommandOutput {
-    pub(crate) end: CommandEnd,
+    pub(crate) end: CommandExit,
     /// Goes to standard output if the command is done, else to standard error.
     pub(crate) text: String,
 }
 
 impl CommandOutput {
-    pub(crate) const fn new(end: CommandEnd, text: String) -> Self {
+    pub(crate) const fn new(end: CommandExit, text: String) -> Self {
         Self { end, text }
     }
 
     pub(crate) const fn done(text: String) -> Self {
-        Self::new(CommandEnd::Done, text)
+        Self::new(CommandExit::Done, text)
     }
 }
 
 impl From<&OperatorError> for CommandOutput {
     fn from(error: &OperatorError) -> Self {
         let end = match error {
-            OperatorError::Unreachable { .. } => CommandEnd::Unreachable,
-            OperatorError::Refused { .. } | OperatorError::NoTarget { .. } => CommandEnd::Refused,
+            OperatorError::Unreachable { .. } => CommandExit::Unreachable,
+            OperatorError::Refused { .. } | OperatorError::NoTarget { .. } => CommandExit::Refused,
         };
         Self::new(end, error.to_string())
     }
@@ -65,5 +65,5 @@
     known.sort_unstable();
     known.dedup();
     let text = format!("no {what} `{name}`; there are: {}", known.join(", "));
-    Err(CommandOutput::new(CommandEnd::Refused, text))
+    Err(CommandOutput::new(CommandExit::Refused, text))
 }
--- a/src/command/publish.rs
+++ b/src/command/publish.rs
@@ -6,7 +6,7 @@
 
 use crate::command::check;
 use crate::command::operator::{self, daemon_address};
-use crate::command::output::{self, CommandEnd, CommandOutput};
+use crate::command::output::{self, CommandExit, CommandOutput};
 use crate::platform::open_store;
 use crate::rules::config::FleetConfig;
 use crate::store::publish::{self, PublishError};
@@ -61,9 +61,9 @@
 
 fn refusal(error: &PublishError) -> CommandOutput {
     let end = match error {
-        PublishError::Conflict { .. } => CommandEnd::Refused,
-        PublishError::NotPublished { .. } => CommandEnd::Unreachable,
-        PublishError::Unsettled { .. } => CommandEnd::Unknown,
+        PublishError::Conflict { .. } => CommandExit::Refused,
+        PublishError::NotPublished { .. } => CommandExit::Unreachable,
+        PublishError::Unsettled { .. } => CommandExit::Unknown,
     };
     CommandOutput::new(end, error.to_string())
 }
--- a/src/command/story.rs
+++ b/src/command/request_trace.rs
@@ -18,7 +18,7 @@
 
 /// One decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct StoryLine {
+pub struct TraceLine {
     /// When, by the clock of its host.
     pub ts: String,
     /// The host whose daemon decided.
@@ -31,17 +31,17 @@
 
 /// What the logs tell of one request.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct RequestStory {
+pub struct RequestTrace {
     #[serde(skip)]
     id: String,
     /// The decisions, in order of time.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<TraceLine>,
     /// Log lines that can't be read; they were passed over.
     #[serde(skip)]
     pub findings: Vec<FileFinding>,
 }
 
-impl RequestStory {
+impl RequestTrace {
     /// Opens the story of a request, and of the calls made for it; of all its copies,
     /// where `id` is its digest.
     pub(crate) fn open(id: &str) -> Self {
@@ -102,7 +102,7 @@
     }
 }
 
-fn story_line(id: &str, mut fields: Map<String, Value>) -> Option<StoryLine> {
+fn story_line(id: &str, mut fields: Map<String, Value>) -> Option<TraceLine> {
     let own = fields.get("id")?.as_str()?;
     let called = own.strip_prefix(id).is_some_and(|rest| rest.starts_with('.'));
     let same_request = fields.get("digest").is_some_and(|digest| digest == id);
@@ -122,7 +122,7 @@
     for name in SILENT {
         fields.remove(*name);
     }
-    Some(StoryLine { ts, host, msg, fields })
+    Some(TraceLine { ts, host, msg, fields })
 }
 
 fn finding(file: &str, number: usize, line: &str, error: &serde_json::Error) -> FileFinding {
--- a/src/command/targets.rs
+++ b/src/command/targets.rs
@@ -8,7 +8,7 @@
 use gumdrop::Options;
 
 use crate::base::member::MemberState;
-use crate::command::operator::{self, TargetLine, daemon_address};
+use crate::command::operator::{self, TargetStatus, daemon_address};
 use crate::command::output::{self, CommandOutput};
 
 /// Targets that are listed without a filter or `--all`, if there are no more: a
@@ -67,7 +67,7 @@
     json: bool,
 }
 
-impl TargetLine {
+impl TargetStatus {
     const fn state(&self) -> TargetState {
         match self.daemon {
             MemberState::Dead | MemberState::Left => TargetState::Down,
@@ -111,10 +111,10 @@
 
 /// Returns the targets that a filter lets through; `Err` if it names what is not there.
 fn filter_targets(
-    lines: &[TargetLine],
+    lines: &[TargetStatus],
     filter: &TargetFilter,
-) -> Result<Vec<TargetLine>, CommandOutput> {
-    let mut listed: Vec<&TargetLine> = lines.iter().collect();
+) -> Result<Vec<TargetStatus>, CommandOutput> {
+    let mut listed: Vec<&TargetStatus> = lines.iter().collect();
     if let Some(state) = filter.state {
         listed.retain(|line| line.state() == state);
     }
@@ -133,11 +133,11 @@
 /// Renders targets for a person: a line for each service, then the targets that take
 /// no new work, or all of them if `all` is set or they are few.
 #[must_use]
-pub fn render_targets(lines: &[TargetLine], all: bool) -> String {
+pub fn render_targets(lines: &[TargetStatus], all: bool) -> String {
     let mut text = String::new();
     write_services(&mut text, lines);
     let all = all || lines.len() <= MAX_LISTED;
-    let listed: Vec<&TargetLine> = lines.iter().filter(|line| all || !line.ready).collect();
+    let listed: Vec<&TargetStatus> = lines.iter().filter(|line| all || !line.ready).collect();
     if listed.is_empty() {
         return text.trim_end().to_owned();
     }
@@ -152,8 +152,8 @@
     text
 }
 
-fn write_services(text: &mut String, lines: &[TargetLine]) {
-    let mut services: BTreeMap<&str, Vec<&TargetLine>> = BTreeMap::new();
+fn write_services(text: &mut String, lines: &[TargetStatus]) {
+    let mut services: BTreeMap<&str, Vec<&TargetStatus>> = BTreeMap::new();
     for line in lines {
         services.entry(line.service.as_str()).or_default().push(line);
     }
@@ -166,7 +166,7 @@
     text.push('\n');
 }
 
-fn columns(line: &TargetLine) -> [String; 7] {
+fn columns(line: &TargetStatus) -> [String; 7] {
     [
         line.service.to_string(),
         line.target.to_string(),
--- a/src/command/trace.rs
+++ b/src/command/trace.rs
@@ -7,9 +7,9 @@
 
 use crate::base::findings::FindingList;
 use crate::command::check;
-use crate::command::output::{self, CommandEnd, CommandOutput};
+use crate::command::output::{self, CommandExit, CommandOutput};
 use crate::command::progress::CommandProgress;
-use crate::command::story::RequestStory;
+use crate::command::request_trace::RequestTrace;
 
 #[derive(Debug, Options)]
 pub(crate) struct TraceOptions {
@@ -36,7 +36,7 @@
     }
     if story.lines.is_empty() {
         let text = format!("no line tells of `{}`", options.id);
-        return CommandOutput::new(CommandEnd::Refused, text);
+        return CommandOutput::new(CommandExit::Refused, text);
     }
     let plain = || story.render().trim_end().to_owned();
     CommandOutput::done(if options.json { output::to_json(&story) } else { plain() })
@@ -44,7 +44,7 @@
 
 /// Reads a request's lines from files, a line at a time: the logs of hundreds of
 /// daemons are larger than memory.
-fn read_story(id: &str, names: &[String]) -> Result<RequestStory, FindingList> {
+fn read_story(id: &str, names: &[String]) -> Result<RequestTrace, FindingList> {
     let mut logs = Vec::new();
     let mut findings = Vec::new();
     for name in names {
@@ -53,7 +53,7 @@
             Err(error) => findings.push(check::unreadable(name, &error)),
         }
     }
-    let mut story = RequestStory::open(id);
+    let mut story = RequestTrace::open(id);
     let mut progress = CommandProgress::open(logs.iter().map(|(_, bytes, _)| bytes).sum());
     let mut done = 0;
     for (name, _, mut log) in logs {
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -119,9 +119,9 @@
         match inbox.next().await {
             PlatformEvent::Claim(request) => duty.keep(PendingWrite::Claim(request)),
             PlatformEvent::Write(write) => duty.keep_write(write),
-            PlatformEvent::Offer { head, body } => duty.adopt(&head, &body),
+            PlatformEvent::RevisionOffer { head, body } => duty.adopt(&head, &body),
             PlatformEvent::Hint => duty.poll_wake.notify_one(),
-            PlatformEvent::Follow(follows) => _ = duty.following.send_replace(follows),
+            PlatformEvent::FollowStore(follows) => _ = duty.following.send_replace(follows),
             PlatformEvent::FleetSize(size) => *duty.fleet_size.borrow_mut() = size,
             PlatformEvent::Dump(reply) => drop(reply.send(duty.dump())),
             PlatformEvent::Leave(done) => {
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -41,7 +41,7 @@
     Dump(oneshot::Sender<Value>),
     /// The daemon's part of the fleet's further tries, and how exactly quotas are kept,
     /// from now on.
-    Terms { retries: RetryShare, quota: QuotaTerms },
+    Settings { retries: RetryShare, quota: QuotaTerms },
     /// Ask callers to go elsewhere, but serve those that come.
     Withdraw,
     /// Take no new calls, finish the old, then tell.
@@ -60,10 +60,10 @@
     /// Who is in the fleet.
     Fleet(Arc<FleetView>),
     /// No other daemon is heard of from now on, or some are again.
-    Alone(bool),
+    Isolated(bool),
     /// A target's heartbeat stays valid for `lease`, cold targets are given as much as
     /// `cold` allows, and quotas are kept as exactly as `quota`, from now on.
-    Terms { lease: Duration, cold: ColdTerms, quota: QuotaTerms },
+    Settings { lease: Duration, cold: ColdTerms, quota: QuotaTerms },
     /// The host's data centre takes no calls from now on, or does again.
     Evacuated(bool),
     /// More is known of suspected requests.
@@ -101,9 +101,9 @@
     /// An operator lets a request through again; answered whether it was suspected.
     Forgive { digest: RequestDigest, reply: oneshot::Sender<bool> },
     /// A call did not reach a host.
-    Unreached(HostName),
+    HostUnreachable(HostName),
     /// The host's targets changed.
-    Local(Vec<TargetNotice>),
+    LocalTargets(Vec<TargetNotice>),
     /// Tell the state.
     Dump(oneshot::Sender<Value>),
     /// Tell the members.
@@ -120,11 +120,11 @@
     /// Write a row in the background; conditional, so it may be repeated.
     Write(TableWrite),
     /// A peer handed out a revision.
-    Offer { head: RevisionHead, body: Bytes },
+    RevisionOffer { head: RevisionHead, body: Bytes },
     /// Look for a newer revision now.
     Hint,
     /// Follow the store for the fleet, or leave that to others.
-    Follow(bool),
+    FollowStore(bool),
     /// The fleet has so many daemons.
     FleetSize(usize),
     /// Tell the state.
--- a/src/duty/ring.rs
+++ b/src/duty/ring.rs
@@ -42,7 +42,7 @@
     }
 
     /// Adds a ring of `capacity` messages and returns its sending end.
-    pub(crate) fn sender(&mut self, capacity: usize) -> RingSender<T> {
+    pub(crate) fn add_sender(&mut self, capacity: usize) -> RingSender<T> {
         let (producer, consumer) = RingBuffer::new(capacity);
         self.rings.push(consumer);
         RingSender { producer: RefCell::new(producer), wake: Arc::clone(&self.wake) }
--- a/src/duty/target_report.rs
+++ b/src/duty/target_report.rs
@@ -31,17 +31,17 @@
         /// Where it is and what it offers.
         announcement: TargetAnnouncement,
         /// When it was born, in milliseconds by its own clock, where it tells.
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
         /// Grows with every report of one life.
         sequence: u64,
         /// How much longer it stays cold after its start.
-        cold: Duration,
+        cold_remaining: Duration,
     },
     /// It is about to end and takes no new work.
-    Left {
+    Leaving {
         /// Its name.
         name: TargetName,
         /// Which life of it, where it tells: when that was born, in milliseconds.
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
     },
 }
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -46,7 +46,7 @@
         let revision = head.revision;
         match unpack(&body) {
             Ok(body) => {
-                let offer = PlatformEvent::Offer { head, body: Bytes::from(body) };
+                let offer = PlatformEvent::RevisionOffer { head, body: Bytes::from(body) };
                 drop(self.rings.platform.push(offer));
                 Some(revision)
             }
--- a/src/fleet/peers/following.rs
+++ b/src/fleet/peers/following.rs
@@ -28,7 +28,8 @@
         }
         // Who hears nobody can't know who follows.
         let alone = now.since(self.heard.get()) >= SILENCE;
-        if alone != self.alone_told.get() && self.rings.guard.push(GuardEvent::Alone(alone)).is_ok()
+        if alone != self.alone_told.get()
+            && self.rings.guard.push(GuardEvent::Isolated(alone)).is_ok()
         {
             self.alone_told.set(alone);
         }
@@ -39,7 +40,7 @@
         drop(membership);
         let follows = alone || in_turn;
         if follows != self.follows.get()
-            && self.rings.platform.push(PlatformEvent::Follow(follows)).is_ok()
+            && self.rings.platform.push(PlatformEvent::FollowStore(follows)).is_ok()
         {
             info!(self.logger, "store followed"; "follows" => follows, "alone" => alone,
                 "unheard_us" => now.since(self.heard.get()).0);
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -162,12 +162,12 @@
             PeersEvent::Suspects { notices, source } => self.take_suspects(notices, source),
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
             // Who hears nobody is cut off itself.
-            PeersEvent::Unreached(host) => {
+            PeersEvent::HostUnreachable(host) => {
                 if self.clock.now().since(self.heard.get()) < GOSSIP_PERIOD.into() {
                     self.step(MembershipEvent::Unreached(host));
                 }
             }
-            PeersEvent::Local(targets) => {
+            PeersEvent::LocalTargets(targets) => {
                 let revision = self.membership.borrow().own().revision;
                 self.step(MembershipEvent::Local { targets, revision });
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -61,9 +61,9 @@
 pub use call::headers::*;
 pub use call::reply::CallOutcome;
 pub use command::cli::run_command;
-pub use command::operator::{HostCondition, HostStatus, TargetLine};
+pub use command::operator::{HostCondition, HostStatus, TargetStatus};
+pub use command::request_trace::{RequestTrace, TraceLine};
 pub use command::status::render_status;
-pub use command::story::{RequestStory, StoryLine};
 pub use command::targets::render_targets;
 pub use decide::admission::{AdmissionAction, AdmissionEvent, AdmissionQueue, WaitingCall};
 pub use decide::benefit::BENEFIT_POLICY;
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -22,7 +22,7 @@
 use crate::duty::events::{AdminEvent, EntryEvent, GuardEvent, PeersEvent, PlatformEvent};
 use crate::duty::readiness::DaemonReadiness;
 use crate::duty::ring::{RingInbox, RingSender};
-use crate::duty::threads::{self, DutyBody};
+use crate::duty::threads::{self, DutyFactory};
 use crate::fleet::peers::{self, PeersParts, PeersRings};
 use crate::process::adapter::DeploymentAdapter;
 use crate::process::admin::{AdminDuty, AdminRings};
@@ -127,7 +127,7 @@
     let incarnation = own.incarnation;
     let rings = open_rings();
     let readiness = DaemonReadiness::default();
-    let mut bodies: Vec<(&str, DutyBody)> = Vec::new();
+    let mut bodies: Vec<(&str, DutyFactory)> = Vec::new();
 
     let parts = EntryParts {
         seed,
@@ -147,7 +147,7 @@
         probe_socket: probe,
     };
     let (inbox, counters, log) = (rings.entry, Arc::clone(&metrics), logger.clone());
-    bodies.push(("entry", threads::body(move || entry::run(parts, inbox, counters, log))));
+    bodies.push(("entry", threads::duty_factory(move || entry::run(parts, inbox, counters, log))));
 
     let parts = GuardParts {
         host: settings.host.clone(),
@@ -166,7 +166,10 @@
     };
     let (inbox, counters, log) = (rings.guard, Arc::clone(&metrics), logger.clone());
     let out = rings.from_guard;
-    bodies.push(("guard", threads::body(move || guard::run(parts, inbox, out, counters, log))));
+    bodies.push((
+        "guard",
+        threads::duty_factory(move || guard::run(parts, inbox, out, counters, log)),
+    ));
 
     let parts = PeersParts {
         own: own.clone(),
@@ -177,15 +180,20 @@
     };
     let (inbox, counters, log) = (rings.peers, Arc::clone(&metrics), logger.clone());
     let out = rings.from_peers;
-    bodies.push(("peers", threads::body(move || peers::run(parts, inbox, out, counters, log))));
+    bodies.push((
+        "peers",
+        threads::duty_factory(move || peers::run(parts, inbox, out, counters, log)),
+    ));
 
     let source = if deployed.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
     let parts = DurableParts { client, own, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
-    bodies
-        .push(("platform", threads::body(move || durable::run(parts, inbox, out, counters, log))));
+    bodies.push((
+        "platform",
+        threads::duty_factory(move || durable::run(parts, inbox, out, counters, log)),
+    ));
 
     let (stop, stopped) = oneshot::channel();
     let plan = stop::stop_plan(settings, terms);
@@ -214,8 +222,8 @@
         }
         stop::stop_all(&duty.rings, plan, &logger).await;
     };
-    bodies.push(("admin", threads::body(body)));
-    let admin = threads::spawn_all(bodies, settings.one_thread).context(ThreadSnafu)?;
+    bodies.push(("admin", threads::duty_factory(body)));
+    let admin = threads::spawn_duties(bodies, settings.one_thread).context(ThreadSnafu)?;
     // Whoever is told where the daemon listens may signal to it. Fails only if the duty
     // ended, which the handle shows.
     _ = handles_signals.recv();
@@ -247,28 +255,28 @@
     let mut admin = RingInbox::open();
     DaemonRings {
         from_guard: GuardRings {
-            peers: peers.sender(RING_CAPACITY),
-            platform: platform.sender(RING_CAPACITY),
+            peers: peers.add_sender(RING_CAPACITY),
+            platform: platform.add_sender(RING_CAPACITY),
         },
-        from_entry: peers.sender(RING_CAPACITY),
+        from_entry: peers.add_sender(RING_CAPACITY),
         from_peers: PeersRings {
-            entry: entry.sender(RING_CAPACITY),
-            guard: guard.sender(RING_CAPACITY),
-            platform: platform.sender(RING_CAPACITY),
+            entry: entry.add_sender(RING_CAPACITY),
+            guard: guard.add_sender(RING_CAPACITY),
+            platform: platform.add_sender(RING_CAPACITY),
         },
         from_platform: PlatformRings {
-            guard: guard.sender(RING_CAPACITY),
-            entry: entry.sender(RING_CAPACITY),
-            peers: peers.sender(RING_CAPACITY),
-            admin: admin.sender(RING_CAPACITY),
+            guard: guard.add_sender(RING_CAPACITY),
+            entry: entry.add_sender(RING_CAPACITY),
+            peers: peers.add_sender(RING_CAPACITY),
+            admin: admin.add_sender(RING_CAPACITY),
         },
         from_admin: AdminRings {
-            entry: entry.sender(RING_CAPACITY),
-            guard: guard.sender(RING_CAPACITY),
-            peers: peers.sender(RING_CAPACITY),
-            platform: platform.sender(RING_CAPACITY),
+            entry: entry.add_sender(RING_CAPACITY),
+            guard: guard.add_sender(RING_CAPACITY),
+            peers: peers.add_sender(RING_CAPACITY),
+            platform: platform.add_sender(RING_CAPACITY),
         },
-        reports: guard.sender(RING_CAPACITY),
+        reports: guard.add_sender(RING_CAPACITY),
         entry,
         guard,
         peers,
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -80,8 +80,8 @@
         if let Some(terms) = terms.filter(|_terms| changed) {
             let DeploymentTerms { target_lease: lease, cold, quota, .. } = terms;
             let retries = retry_share(Some(terms));
-            let entry = rings.entry.push(EntryEvent::Terms { retries, quota }).is_ok();
-            let guard = rings.guard.push(GuardEvent::Terms { lease, cold, quota }).is_ok();
+            let entry = rings.entry.push(EntryEvent::Settings { retries, quota }).is_ok();
+            let guard = rings.guard.push(GuardEvent::Settings { lease, cold, quota }).is_ok();
             if entry && guard {
                 reloading.in_force = Some(terms);
             }
--- a/tests/fleet_report.rs
+++ b/tests/fleet_report.rs
@@ -1,6 +1,8 @@
 //! What operators are shown of a fleet of hundreds of hosts.
 
-use railspan::{HostCondition, HostStatus, MemberState, TargetLine, render_status, render_targets};
+use railspan::{
+    HostCondition, HostStatus, MemberState, TargetStatus, render_status, render_targets,
+};
 use test_case::test_case;
 
 const HOSTS: usize = 295;
@@ -108,9 +110,9 @@
     assert_eq!(named.count(), HOSTS);
 }
 
-fn target(number: usize) -> TargetLine {
+fn target(number: usize) -> TargetStatus {
     let service = ["avisos", "cuotas", "grillas", "grillas"][number % 4];
-    TargetLine {
+    TargetStatus {
         service: service.into(),
         target: format!("i-{number:03}").as_str().into(),
         host: format!("host-{number:03}").as_str().into(),
@@ -123,7 +125,7 @@
 
 #[test]
 fn targets_of_a_large_fleet_are_summed_up_and_those_without_work_listed() {
-    let mut lines: Vec<TargetLine> = (0..HOSTS).map(target).collect();
+    let mut lines: Vec<TargetStatus> = (0..HOSTS).map(target).collect();
     lines[8].ready = false;
     lines[9].ready = false;
     lines[9].daemon = MemberState::Dead;
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -80,11 +80,12 @@
 
 #[test]
 fn a_whole_heartbeat_is_read() {
-    let Some(TargetReport::Alive { born, sequence, .. }) = read(heartbeat().to_string().as_bytes())
+    let Some(TargetReport::Alive { started_at_ms, sequence, .. }) =
+        read(heartbeat().to_string().as_bytes())
     else {
         panic!("a heartbeat")
     };
-    assert_eq!((born, sequence), (Some(1_768_651_867_000), 4));
+    assert_eq!((started_at_ms, sequence), (Some(1_768_651_867_000), 4));
     let mut without_birth = heartbeat();
     without_birth.as_object_mut().expect("object").remove("born");
     assert!(read(without_birth.to_string().as_bytes()).is_some());
@@ -99,6 +100,9 @@
     };
     let refused = read(b"{\"born\":\"now\"}").expect_err("no end");
     assert_eq!(refused.status.as_u16(), 400);
-    assert!(matches!(read(b""), Ok(TargetReport::Left { born: None, .. })));
-    assert!(matches!(read(b"{\"born\":9}"), Ok(TargetReport::Left { born: Some(9), .. })));
+    assert!(matches!(read(b""), Ok(TargetReport::Leaving { started_at_ms: None, .. })));
+    assert!(matches!(
+        read(b"{\"born\":9}"),
+        Ok(TargetReport::Leaving { started_at_ms: Some(9), .. })
+    ));
 }
--- a/tests/story.rs
+++ b/tests/request_trace.rs
@@ -1,6 +1,6 @@
 //! The story of a request, from logs that may be cut or mixed.
 
-use railspan::RequestStory;
+use railspan::RequestTrace;
 
 const ENTRY: &str = r#"
 12.1 host-a {"msg":"chosen","level":"INFO","ts":"2026-07-16T13:00:00.100Z","host":"host-a","target":"i-1","id":"abc"}
@@ -19,7 +19,7 @@
 
 #[test]
 fn lines_of_several_daemons_are_joined_in_order() {
-    let story = RequestStory::read("abc", &logs());
+    let story = RequestTrace::read("abc", &logs());
     let told: Vec<_> = story.lines.iter().map(|line| (&*line.host, &*line.msg)).collect();
     let expected =
         [("host-a", "chosen"), ("host-b", "sent"), ("host-b", "chosen"), ("host-a", "answered")];
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_cut_line_is_named_and_passed_over() {
-    let story = RequestStory::read("abc", &logs());
+    let story = RequestTrace::read("abc", &logs());
     let places: Vec<_> =
         story.findings.iter().map(|finding| (&*finding.file, finding.place.line)).collect();
     assert_eq!(places, [("a.log", 5)]);
@@ -41,7 +41,7 @@
         format!(r#"{{"msg":"chosen","ts":"{ts}","host":"a","digest":"00ff","id":"{id}"}}"#)
     };
     let text = [line("one", "2"), line("two", "1")].join("\n");
-    let story = RequestStory::read("00ff", &[("a.log".into(), text)]);
+    let story = RequestTrace::read("00ff", &[("a.log".into(), text)]);
     assert_eq!(
         story.render(),
         "1 a chosen call=two digest=00ff\n2 a chosen call=one digest=00ff\n"
@@ -50,5 +50,5 @@
 
 #[test]
 fn an_unknown_request_has_no_story() {
-    assert!(RequestStory::read("nobody", &logs()).lines.is_empty());
+    assert!(RequestTrace::read("nobody", &logs()).lines.is_empty());
 }
