--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `railspan check`: every finding of files of templates or settings.
+//! `railspan check`: lists all errors in template or settings files.
 
 use gumdrop::Options;
 
@@ -15,14 +15,14 @@
     #[options(no_short, help = "print findings as JSON")]
     json: bool,
 
-    #[options(free, required, help = "files, JSON with comments")]
+    #[options(free, required, help = "files to check, JSON with comments")]
     files: Vec<String>,
 }
 
 pub(crate) fn run(options: &CheckOptions) -> CommandOutput {
     let files = match read_files(&options.files) {
         Ok(files) => files,
-        Err(findings) => return report(&findings, options.json),
+        Err(findings) => return findings_output(&findings, options.json),
     };
     let (settings, templates): (Vec<_>, Vec<_>) =
         files.into_iter().partition(|(_, text)| is_settings(text));
@@ -36,12 +36,12 @@
     findings.extend(FleetConfig::parse_all(&templates).err().into_iter().flat_map(|list| list.0));
     if findings.is_empty() {
         let text = if options.json { "[]" } else { "no findings" };
-        return CommandOutput::done(text.to_owned());
+        return CommandOutput::success(text.to_owned());
     }
-    report(&FindingList(findings), options.json)
+    findings_output(&FindingList(findings), options.json)
 }
 
-/// Finds what the platform's adapter can't read in a deployment's terms.
+/// Returns the errors that the platform's adapter finds in the `terms` of a deployment.
 fn check_terms(file: &str, text: &str, settings: &DaemonSettings) -> Vec<FileFinding> {
     let Some(deployment) = &settings.deployment else { return Vec::new() };
     let place = TextPlace::of(text, text.find("\"terms\"").unwrap_or_default());
@@ -50,27 +50,31 @@
     faults.into_iter().map(finding).collect()
 }
 
-/// Reads all files; a file that can't be read is a finding.
+/// Reads all files and returns their names and contents.
+///
+/// # Errors
+///
+/// Returns a finding for each file that can't be read.
 pub(crate) fn read_files(names: &[String]) -> Result<Vec<(String, String)>, FindingList> {
     let mut files = Vec::new();
     let mut findings = Vec::new();
     for name in names {
         match std::fs::read_to_string(name) {
             Ok(text) => files.push((name.clone(), text)),
-            Err(error) => findings.push(unreadable(name, &error)),
+            Err(error) => findings.push(unreadable_file(name, &error)),
         }
     }
     if findings.is_empty() { Ok(files) } else { Err(FindingList(findings)) }
 }
 
-/// Makes the finding of a file that can't be read.
-pub(crate) fn unreadable(name: &str, error: &std::io::Error) -> FileFinding {
+/// Returns the finding for a file that can't be read.
+pub(crate) fn unreadable_file(name: &str, error: &std::io::Error) -> FileFinding {
     let place = TextPlace { line: 1, column: 1 };
     FileFinding { file: name.to_owned(), place, text: error.to_string() }
 }
 
-/// Makes the end of a command whose files have findings.
-pub(crate) fn report(findings: &FindingList, json: bool) -> CommandOutput {
+/// Returns the output of a command whose files have findings.
+pub(crate) fn findings_output(findings: &FindingList, json: bool) -> CommandOutput {
     let text = if json { output::to_json(&findings.0) } else { findings.to_string() };
     CommandOutput::new(CommandExit::BadInput, text)
 }
--- a/src/command/cli.rs
+++ b/src/command/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: its subcommands, and the end of each.
+//! Subcommands of the operators' command line, their output and exit codes.
 
 use std::process::ExitCode;
 
@@ -29,25 +29,26 @@
 
 #[derive(Debug, Options)]
 enum OperatorCommand {
-    #[options(help = "check files of templates or settings")]
+    #[options(help = "check template or settings files")]
     Check(CheckOptions),
     #[options(help = "check templates and publish them as the next revision")]
     Publish(PublishOptions),
-    #[options(help = "tell which revision is in force where, and which hosts differ")]
+    #[options(help = "show which revision is active, and which hosts differ")]
     Status(StatusOptions),
     #[options(help = "print the state of one daemon")]
     Dump(DumpOptions),
-    #[options(help = "send a target no new work, or take that back")]
+    #[options(help = "stop sending new calls to a target, or undo that")]
     Drain(DrainOptions),
-    #[options(help = "let a request reach targets again that ended some")]
+    #[options(help = "unblock a request that is blamed for crashing targets")]
     Forgive(ForgiveOptions),
-    #[options(help = "tell how many targets each service has, and list them")]
+    #[options(help = "show how many targets each service has, and list them")]
     Targets(TargetsOptions),
-    #[options(help = "tell the story of one request from daemons' logs")]
+    #[options(help = "show what the daemons' logs contain about one request")]
     Trace(TraceOptions),
 }
 
-/// Runs the command that the process was started with.
+/// Parses the process arguments, runs the command, prints its output, and returns the exit
+/// code.
 #[must_use]
 pub fn run_command() -> ExitCode {
     let options = CommandOptions::parse_args_default_or_exit();
@@ -64,12 +65,12 @@
         Ok(runtime) => runtime.block_on(execute(command)),
         Err(error) => CommandOutput::new(CommandExit::Unreachable, error.to_string()),
     };
-    if output.end == CommandExit::Done {
+    if output.exit == CommandExit::Success {
         println!("{}", output.text);
     } else {
         eprintln!("{}", output.text);
     }
-    ExitCode::from(output.end as u8)
+    ExitCode::from(output.exit as u8)
 }
 
 async fn execute(command: OperatorCommand) -> CommandOutput {
--- a/src/command/drain.rs
+++ b/src/command/drain.rs
@@ -1,10 +1,10 @@
-//! `railspan drain`: sends a target no new work, or takes that back.
+//! `railspan drain`: stops sending new calls to a target, or undoes that.
 
 use std::net::SocketAddr;
 
 use gumdrop::Options;
 
-use crate::command::operator::{self, daemon_address};
+use crate::command::operator::{self, required_address};
 use crate::command::output::CommandOutput;
 
 #[derive(Debug, Options)]
@@ -15,19 +15,19 @@
     #[options(required, help = "admin address of any daemon", meta = "IP:PORT")]
     daemon: Option<SocketAddr>,
 
-    #[options(help = "let the target take work again")]
+    #[options(help = "send new calls to the target again")]
     undo: bool,
 
-    #[options(free, required, help = "the target's name")]
+    #[options(free, required, help = "name of the target")]
     target: String,
 }
 
 pub(crate) async fn run(options: &DrainOptions) -> CommandOutput {
-    let daemon = daemon_address(options.daemon);
+    let daemon = required_address(options.daemon);
     match operator::drain(daemon, &options.target, !options.undo).await {
         Ok(host) => {
-            let word = if options.undo { "takes work again" } else { "drains" };
-            CommandOutput::done(format!("{} on {host} {word}", options.target))
+            let state = if options.undo { "takes work again" } else { "drains" };
+            CommandOutput::success(format!("{} on {host} {state}", options.target))
         }
         Err(error) => CommandOutput::from(&error),
     }
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' command line, a file for each subcommand.
+//! The operators' command line, with a module for each subcommand.
 //!
-//! `cli` names them; `operator` asks running daemons; `output` and `progress` are what
-//! all share. What a command prints is made by functions of what was asked, so that it
-//! can be tried on fleets that do not run.
+//! `cli` lists the subcommands, `operator` sends requests to running daemons, and `output`
+//! and `progress` are shared by all. The output is rendered by pure functions of the
+//! daemons' answers, so that it can be tested without a running fleet.
 
 pub(crate) mod check;
 pub(crate) mod cli;
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator's command asks of running daemons.
+//! Requests from the operators' commands to running daemons.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,112 +19,112 @@
 use crate::base::member::{FleetView, MemberRecord, MemberState};
 use crate::command::progress::CommandProgress;
 
-/// Longest wait for one daemon.
+/// Maximum time for a request to one daemon.
 const DAEMON_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest answer taken from a daemon, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum length of a daemon's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Longest time for all daemons together; those that did not answer by then are shown
-/// so.
-const STATUS_WITHIN: Duration = Duration::from_secs(5);
+/// Maximum time for the status requests to all daemons; daemons that have not answered by
+/// then are shown without an answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Daemons asked at once: of a fleet of a thousand, half of it silent, the others are
-/// all asked within [`STATUS_WITHIN`].
-const ASKED_AT_ONCE: usize = 512;
+/// Maximum number of concurrent status requests: enough to reach all responsive daemons
+/// within [`STATUS_TIMEOUT`] if half of a fleet of a thousand does not respond.
+const MAX_CONCURRENT_REQUESTS: usize = 512;
 
-/// Why a daemon did not do what it was asked.
+/// Why a request to a daemon failed.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// It can't be reached, or gave no answer in time.
-    #[snafu(display("{daemon} can't be reached: {reason}"))]
+    /// The daemon can't be reached, or gave no valid answer in time.
+    #[snafu(display("cannot reach {daemon}: {reason}"))]
     Unreachable {
-        /// Its admin address.
+        /// Admin address of the daemon.
         daemon: SocketAddr,
-        /// What was seen.
+        /// Description of the error.
         reason: String,
     },
-    /// It refused.
-    #[snafu(display("{daemon} refused: {reason}"))]
+    /// The daemon refused the request.
+    #[snafu(display("{daemon} refused the request: {reason}"))]
     Refused {
-        /// Its admin address.
+        /// Admin address of the daemon.
         daemon: SocketAddr,
-        /// What it said.
+        /// Reason that the daemon gave.
         reason: String,
     },
-    /// No daemon has such a target.
-    #[snafu(display("no target `{target}`; `railspan targets` lists them"))]
+    /// No daemon has a target of this name.
+    #[snafu(display("unknown target `{target}`; list the targets with `railspan targets`"))]
     NoTarget {
-        /// The name asked for.
+        /// Name of the target.
         target: String,
     },
 }
 
-/// One target as operators see it.
+/// State of one target, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetStatus {
-    /// Its service.
+    /// Service that the target offers.
     pub service: ServiceName,
-    /// Its name.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its host.
+    /// Host of the target.
     pub host: HostName,
-    /// The host's data centre.
+    /// Data centre of the host.
     pub data_centre: CentreName,
-    /// What is believed of the host's daemon.
+    /// State of the host's daemon, as the fleet sees it.
     pub daemon: MemberState,
-    /// Whether it takes new work.
+    /// Whether the target takes new calls.
     pub ready: bool,
-    /// Calls it runs at once.
+    /// Maximum number of calls that the target runs at once.
     pub slots: u16,
 }
 
-/// What became of the question to a host's daemon.
+/// Result of the status request to a host's daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostCondition {
-    /// It serves calls.
+    /// The daemon serves calls.
     Serving,
-    /// It answers, but takes no calls.
+    /// The daemon answers, but takes no calls.
     NotReady,
-    /// It gave no answer in time.
+    /// The daemon gave no answer in time.
     NoAnswer,
-    /// The fleet takes it for dead, so it was not asked.
+    /// The fleet considers the daemon dead, so no request was sent.
     Down,
-    /// It stopped as planned, so it was not asked.
+    /// The daemon stopped as planned, so no request was sent.
     Left,
 }
 
-/// Where a revision is in force.
+/// Status of one host, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct HostStatus {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: CentreName,
-    /// What is believed of its daemon.
+    /// State of the host's daemon, as the fleet sees it.
     pub daemon: MemberState,
-    /// What became of the question to it.
+    /// Result of the status request to the daemon.
     pub condition: HostCondition,
-    /// The revision in force, or none if it could not be asked or has none.
+    /// Active revision; none if the daemon has none or gave no answer.
     pub revision: Option<u64>,
-    /// Whether it serves calls.
+    /// Whether the daemon serves calls.
     pub ready: bool,
-    /// Whether it could not reach the platform's store when it last tried.
+    /// Whether the daemon's last attempt to reach the platform's store failed.
     pub store_lost: bool,
-    /// Whether it holds its data centre for evacuated.
+    /// Whether the daemon considers its data centre evacuated.
     pub evacuated: bool,
-    /// Requests that it sends to no target, since they end targets.
+    /// Requests that the daemon blocks because they are blamed for crashing targets.
     pub blamed: Vec<RequestDigest>,
 }
 
-/// Returns all members that a daemon knows.
+/// Returns all members of the fleet that a daemon knows.
 ///
 /// # Errors
 ///
 /// Fails when the daemon can't be reached.
 pub async fn read_members(daemon: SocketAddr) -> Result<FleetView, OperatorError> {
-    let value = ask(Method::GET, daemon, "/members").await?;
+    let value = request_json(Method::GET, daemon, "/members").await?;
     let unreadable =
         |error: serde_json::Error| OperatorError::Refused { daemon, reason: error.to_string() };
     serde_json::from_value(value).map_err(unreadable)
@@ -137,9 +137,9 @@
 /// Fails when the daemon can't be reached.
 pub async fn list_targets(daemon: SocketAddr) -> Result<Vec<TargetStatus>, OperatorError> {
     let view = read_members(daemon).await?;
-    let mut lines = Vec::new();
+    let mut statuses = Vec::new();
     for member in &view.members {
-        lines.extend(member.targets.iter().map(|target| TargetStatus {
+        statuses.extend(member.targets.iter().map(|target| TargetStatus {
             service: target.service.clone(),
             target: target.name.clone(),
             host: member.host.clone(),
@@ -149,41 +149,41 @@
             slots: target.slots,
         }));
     }
-    lines.sort_by(|a, b| {
+    statuses.sort_by(|a, b| {
         let left = (&a.service, &a.data_centre, &a.target);
         left.cmp(&(&b.service, &b.data_centre, &b.target))
     });
-    Ok(lines)
+    Ok(statuses)
 }
 
-/// Asks every daemon which revision is in force there, for at most [`STATUS_WITHIN`].
+/// Requests the status of every daemon and waits for at most [`STATUS_TIMEOUT`].
 ///
 /// # Errors
 ///
-/// Fails when the first daemon can't be reached; others show as not having answered.
+/// Fails when `daemon` can't be reached; the others are shown without an answer then.
 pub(crate) async fn read_status(daemon: SocketAddr) -> Result<Vec<HostStatus>, OperatorError> {
     let view = read_members(daemon).await?;
-    let mut hosts: Vec<HostStatus> = view.members.iter().map(unasked).collect();
-    let asked = view.members.iter().enumerate().filter(|(_, member)| member.is_up());
-    let asked = asked.map(|(index, member)| async move {
-        (index, ask(Method::GET, member.admin, "/status").await.ok())
+    let mut hosts: Vec<HostStatus> = view.members.iter().map(initial_status).collect();
+    let members = view.members.iter().enumerate().filter(|(_, member)| member.is_up());
+    let requests = members.map(|(index, member)| async move {
+        (index, request_json(Method::GET, member.admin, "/status").await.ok())
     });
-    let answers = futures::stream::iter(asked).buffer_unordered(ASKED_AT_ONCE);
-    let mut answers = std::pin::pin!(answers.take_until(tokio::time::sleep(STATUS_WITHIN)));
+    let answers = futures::stream::iter(requests).buffer_unordered(MAX_CONCURRENT_REQUESTS);
+    let mut answers = std::pin::pin!(answers.take_until(tokio::time::sleep(STATUS_TIMEOUT)));
     let mut progress = CommandProgress::open(hosts.len() as u64);
     for done in 1.. {
         let Some((index, answer)) = answers.next().await else { break };
         progress.set(done);
         if let Some(answer) = answer {
-            take_answer(&mut hosts[index], &answer);
+            apply_answer(&mut hosts[index], &answer);
         }
     }
     hosts.sort_by(|a, b| a.host.cmp(&b.host));
     Ok(hosts)
 }
 
-/// Returns what the fleet believes of a host before it is asked.
-fn unasked(member: &MemberRecord) -> HostStatus {
+/// Returns the status of a host before its daemon has answered.
+fn initial_status(member: &MemberRecord) -> HostStatus {
     HostStatus {
         host: member.host.clone(),
         data_centre: member.data_centre.clone(),
@@ -201,7 +201,8 @@
     }
 }
 
-fn take_answer(host: &mut HostStatus, answer: &Value) {
+/// Fills in a host's status from its daemon's answer.
+fn apply_answer(host: &mut HostStatus, answer: &Value) {
     host.revision = answer["in_force"].as_u64();
     host.ready = answer["ready"] == Value::Bool(true);
     let evacuated = answer["evacuated"].as_array();
@@ -219,10 +220,10 @@
 ///
 /// Fails when the daemon can't be reached.
 pub async fn dump(daemon: SocketAddr) -> Result<Value, OperatorError> {
-    ask(Method::GET, daemon, "/state").await
+    request_json(Method::GET, daemon, "/state").await
 }
 
-/// Drains a target, wherever it is, or takes that back.
+/// Starts (`on`) or ends the drain of a target and returns its host.
 ///
 /// # Errors
 ///
@@ -233,37 +234,41 @@
     let member = view.serving().find(|member| member.targets.iter().any(has));
     let member = member.ok_or_else(|| OperatorError::NoTarget { target: target.to_owned() })?;
     let path = format!("/drain?target={target}&on={on}");
-    ask(Method::POST, member.admin, &path).await?;
+    request_json(Method::POST, member.admin, &path).await?;
     Ok(member.host.clone())
 }
 
-/// Lets a request reach targets again that was found to end them.
+/// Unblocks a request that is blamed for crashing targets.
 ///
 /// # Errors
 ///
-/// Fails when the daemon can't be reached, or knows no such request.
+/// Fails when the daemon can't be reached, or doesn't suspect the request.
 pub async fn forgive(daemon: SocketAddr, digest: RequestDigest) -> Result<(), OperatorError> {
-    ask(Method::POST, daemon, &format!("/forgive?request={digest}")).await.map(drop)
+    request_json(Method::POST, daemon, &format!("/forgive?request={digest}")).await.map(drop)
 }
 
-/// Tells a daemon that a revision was published.
+/// Notifies a daemon that a revision was published.
 ///
 /// # Errors
 ///
-/// Fails when the daemon can't be reached; it hears of the revision all the
-/// same, only later.
+/// Fails when the daemon can't be reached; it still finds the revision, only later.
 pub async fn hint(daemon: SocketAddr) -> Result<(), OperatorError> {
-    ask(Method::POST, daemon, "/hint").await.map(drop)
+    request_json(Method::POST, daemon, "/hint").await.map(drop)
 }
 
-/// Returns an address that the argument parser made sure of.
-pub(crate) fn daemon_address(address: Option<SocketAddr>) -> SocketAddr {
+/// Returns the value of an address option that the argument parser requires.
+pub(crate) fn required_address(address: Option<SocketAddr>) -> SocketAddr {
     address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-async fn ask(method: Method, daemon: SocketAddr, path: &str) -> Result<Value, OperatorError> {
+/// Sends a request to a daemon and returns the JSON of its response.
+async fn request_json(
+    method: Method,
+    daemon: SocketAddr,
+    path: &str,
+) -> Result<Value, OperatorError> {
     let unreachable = |reason: String| OperatorError::Unreachable { daemon, reason };
-    let (status, body) = timeout(DAEMON_TIMEOUT, exchange(method, daemon, path))
+    let (status, body) = timeout(DAEMON_TIMEOUT, send_request(method, daemon, path))
         .await
         .map_err(|elapsed| unreachable(elapsed.to_string()))?
         .map_err(|error| unreachable(error.to_string()))?;
@@ -276,7 +281,8 @@
     Err(OperatorError::Refused { daemon, reason })
 }
 
-async fn exchange(
+/// Sends an HTTP request and returns the status and body of the response.
+async fn send_request(
     method: Method,
     daemon: SocketAddr,
     path: &str,
@@ -286,6 +292,6 @@
     let request = Request::builder().method(method).uri(uri).body(Empty::new())?;
     let response = client.request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER).collect().await?;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await?;
     Ok((status, body.to_bytes()))
 }
--- a/src/command/output.rs
+++ b/src/command/output.rs
@@ -1,58 +1,62 @@
-//! What every command shares: how it ended, what it prints, what went wrong.
+//! Output and exit codes of the commands.
 
 use serde::Serialize;
 
 use crate::command::operator::OperatorError;
 
-/// How a command ended, as its exit code.
+/// Exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandExit {
-    /// Done.
-    Done = 0,
-    /// Refused: a conflict, or no such thing. Nothing changed.
+    /// The command succeeded.
+    Success = 0,
+    /// The command was refused because of a conflict or an unknown name. Nothing changed.
     Refused = 1,
-    /// The input is bad. Nothing changed.
+    /// The input is invalid. Nothing changed.
     BadInput = 2,
     /// The platform or a daemon can't be reached. Nothing changed.
     Unreachable = 3,
-    /// It can't be told whether something changed.
+    /// It is unknown whether anything changed.
     Unknown = 4,
 }
 
-/// What a command prints, and how it ended.
+/// Exit code and text of a finished command.
 #[derive(Debug)]
 pub(crate) struct CommandOutput {
-    pub(crate) end: CommandExit,
-    /// Goes to standard output if the command is done, else to standard error.
+    pub(crate) exit: CommandExit,
+    /// Printed to standard output if the command succeeded, else to standard error.
     pub(crate) text: String,
 }
 
 impl CommandOutput {
-    pub(crate) const fn new(end: CommandExit, text: String) -> Self {
-        Self { end, text }
+    pub(crate) const fn new(exit: CommandExit, text: String) -> Self {
+        Self { exit, text }
     }
 
-    pub(crate) const fn done(text: String) -> Self {
-        Self::new(CommandExit::Done, text)
+    pub(crate) const fn success(text: String) -> Self {
+        Self::new(CommandExit::Success, text)
     }
 }
 
 impl From<&OperatorError> for CommandOutput {
     fn from(error: &OperatorError) -> Self {
-        let end = match error {
+        let exit = match error {
             OperatorError::Unreachable { .. } => CommandExit::Unreachable,
             OperatorError::Refused { .. } | OperatorError::NoTarget { .. } => CommandExit::Refused,
         };
-        Self::new(end, error.to_string())
+        Self::new(exit, error.to_string())
     }
 }
 
-/// Renders a value as JSON for people and programs.
+/// Renders a value as indented JSON.
 pub(crate) fn to_json<T: Serialize>(value: &T) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
 
-/// Makes sure that a filter names something that there is; `Err` is the command's end.
+/// Checks that a filter's name is among the known ones.
+///
+/// # Errors
+///
+/// Returns the command's output, which lists the known names.
 pub(crate) fn expect_known<'a>(
     what: &str,
     name: &str,
@@ -64,6 +68,6 @@
     }
     known.sort_unstable();
     known.dedup();
-    let text = format!("no {what} `{name}`; there are: {}", known.join(", "));
+    let text = format!("unknown {what} `{name}`; known: {}", known.join(", "));
     Err(CommandOutput::new(CommandExit::Refused, text))
 }
--- a/src/command/progress.rs
+++ b/src/command/progress.rs
@@ -1,29 +1,29 @@
-//! A progress bar for commands that ask or read much.
+//! Progress bar for commands that take long.
 
 use std::time::{Duration, Instant};
 
 use indicatif::ProgressBar;
 
-/// Time after which a command says how far it is; shorter ones need no bar.
-const SHOWN_AFTER: Duration = Duration::from_secs(1);
+/// Time after which a command shows a progress bar; shorter commands need none.
+const DISPLAY_DELAY: Duration = Duration::from_secs(1);
 
-/// How far a command is; shown on standard error, if that is a terminal, once the
-/// command has taken [`SHOWN_AFTER`].
+/// Progress of a command; shown on standard error, if that is a terminal, once the command
+/// has run for [`DISPLAY_DELAY`].
 #[derive(Debug)]
 pub(crate) struct CommandProgress {
-    since: Instant,
+    started_at: Instant,
     total: u64,
     bar: Option<ProgressBar>,
 }
 
 impl CommandProgress {
     pub(crate) fn open(total: u64) -> Self {
-        Self { since: Instant::now(), total, bar: None }
+        Self { started_at: Instant::now(), total, bar: None }
     }
 
-    /// Says that `done` of the whole is done.
+    /// Sets the progress to `done` of the total.
     pub(crate) fn set(&mut self, done: u64) {
-        if self.since.elapsed() < SHOWN_AFTER {
+        if self.started_at.elapsed() < DISPLAY_DELAY {
             return;
         }
         let bar = self.bar.get_or_insert_with(|| ProgressBar::new(self.total));
--- a/src/command/request_trace.rs
+++ b/src/command/request_trace.rs
@@ -1,4 +1,4 @@
-//! The story of one request, joined from the logs of several daemons.
+//! Trace of one request, merged from the logs of several daemons.
 
 use std::fmt::Write;
 
@@ -7,83 +7,85 @@
 
 use crate::base::findings::{FileFinding, TextPlace};
 
-/// Fields that the story's first columns show.
+/// Log fields that become the columns of a trace line.
 const COLUMNS: &[&str] = &["ts", "host", "msg"];
 
-/// Fields that say nothing about a request.
-const SILENT: &[&str] = &["level", "id"];
+/// Log fields that a trace omits, since they add nothing about the request.
+const HIDDEN_FIELDS: &[&str] = &["level", "id"];
 
-/// Longest part of a line that can't be read that a finding shows.
-const SHOWN: usize = 60;
+/// Maximum length of the excerpt of an unreadable line in a finding, in characters.
+const MAX_EXCERPT_CHARS: usize = 60;
 
-/// One decision about a request.
+/// One log line about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TraceLine {
-    /// When, by the clock of its host.
+    /// Timestamp by the clock of the host.
     pub ts: String,
-    /// The host whose daemon decided.
+    /// Host whose daemon logged the line.
     pub host: String,
-    /// What it decided.
+    /// Log message, which names the decision.
     pub msg: String,
-    /// The inputs and the outcome.
+    /// Remaining fields: the inputs and the outcome of the decision.
     pub fields: Map<String, Value>,
 }
 
-/// What the logs tell of one request.
+/// All log lines about one request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestTrace {
     #[serde(skip)]
     id: String,
-    /// The decisions, in order of time.
+    /// Log lines about the request, in order of time.
     pub lines: Vec<TraceLine>,
-    /// Log lines that can't be read; they were passed over.
+    /// Log lines that can't be read and were skipped.
     #[serde(skip)]
     pub findings: Vec<FileFinding>,
 }
 
 impl RequestTrace {
-    /// Opens the story of a request, and of the calls made for it; of all its copies,
-    /// where `id` is its digest.
+    /// Creates an empty trace of a request.
+    ///
+    /// `id` is the request's id, to include the request and the calls made for it, or its
+    /// digest, to include all copies of the request.
     pub(crate) fn open(id: &str) -> Self {
         Self { id: id.to_owned(), ..Self::default() }
     }
 
-    /// Reads a story from logs given as `(file, text)`.
+    /// Reads a trace from logs given as `(file, text)`.
     #[must_use]
     pub fn read(id: &str, logs: &[(String, String)]) -> Self {
-        let mut story = Self::open(id);
+        let mut trace = Self::open(id);
         for (file, text) in logs {
             for (index, line) in text.lines().enumerate() {
-                story.take(file, index + 1, line);
+                trace.add_line(file, index + 1, line);
             }
         }
-        story.sort();
-        story
+        trace.sort_by_time();
+        trace
     }
 
-    /// Takes one line of a log, if it tells of the request; `number` counts from one.
+    /// Adds a line of a log if it concerns the request; `number` counts from one.
     ///
-    /// What stands before the first brace of a line is passed over, so that the
-    /// output of log collectors can be read as it is. Whole lines without the id are
-    /// not parsed: of the logs of a large fleet that is nearly all.
-    pub(crate) fn take(&mut self, file: &str, number: usize, line: &str) {
+    /// Text before the first brace is skipped, so that the output of log collectors can be
+    /// read unchanged. Complete lines that don't contain the id aren't parsed, since these
+    /// are nearly all lines in the logs of a large fleet.
+    pub(crate) fn add_line(&mut self, file: &str, number: usize, line: &str) {
         let line = line.trim_end();
         let Some(start) = line.find('{') else { return };
         if line.ends_with('}') && !line.contains(&self.id) {
             return;
         }
         match serde_json::from_str::<Map<String, Value>>(&line[start..]) {
-            Ok(fields) => self.lines.extend(story_line(&self.id, fields)),
+            Ok(fields) => self.lines.extend(trace_line(&self.id, fields)),
             Err(error) => self.findings.push(finding(file, number, line, &error)),
         }
     }
 
-    /// Brings the lines of several logs into the order of time.
-    pub(crate) fn sort(&mut self) {
+    /// Sorts the lines of all logs by time.
+    pub(crate) fn sort_by_time(&mut self) {
         self.lines.sort_by(|left, right| left.ts.cmp(&right.ts));
     }
 
-    /// Renders the story, one decision a line.
+    /// Renders the trace as text, with one log line per line.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
@@ -92,7 +94,7 @@
             _ = write!(text, "{} {} {}", line.ts, line.host, line.msg);
             for (name, value) in &line.fields {
                 match value.as_str() {
-                    Some(word) => _ = write!(text, " {name}={word}"),
+                    Some(value) => _ = write!(text, " {name}={value}"),
                     None => _ = write!(text, " {name}={value}"),
                 }
             }
@@ -102,14 +104,14 @@
     }
 }
 
-fn story_line(id: &str, mut fields: Map<String, Value>) -> Option<TraceLine> {
-    let own = fields.get("id")?.as_str()?;
-    let called = own.strip_prefix(id).is_some_and(|rest| rest.starts_with('.'));
-    let same_request = fields.get("digest").is_some_and(|digest| digest == id);
-    if own != id && !called && !same_request {
+fn trace_line(id: &str, mut fields: Map<String, Value>) -> Option<TraceLine> {
+    let line_id = fields.get("id")?.as_str()?;
+    let is_subcall = line_id.strip_prefix(id).is_some_and(|rest| rest.starts_with('.'));
+    let has_digest = fields.get("digest").is_some_and(|digest| digest == id);
+    if line_id != id && !is_subcall && !has_digest {
         return None;
     }
-    if called || same_request {
+    if is_subcall || has_digest {
         let call = fields["id"].clone();
         fields.insert("call".to_owned(), call);
     }
@@ -119,17 +121,18 @@
     });
     let (ts, host, msg) = (columns.next()?, columns.next()?, columns.next()?);
     drop(columns);
-    for name in SILENT {
+    for name in HIDDEN_FIELDS {
         fields.remove(*name);
     }
     Some(TraceLine { ts, host, msg, fields })
 }
 
+/// Returns the finding for a log line that can't be parsed.
 fn finding(file: &str, number: usize, line: &str, error: &serde_json::Error) -> FileFinding {
-    let shown: String = line.chars().take(SHOWN).collect();
+    let excerpt: String = line.chars().take(MAX_EXCERPT_CHARS).collect();
     FileFinding {
         file: file.to_owned(),
         place: TextPlace { line: number, column: 1 },
-        text: format!("passed over: {error}: {shown}"),
+        text: format!("skipped an unreadable log line: {error}: {excerpt}"),
     }
 }
--- a/src/command/status.rs
+++ b/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `railspan status`: which revision is in force where, and what differs.
+//! `railspan status`: shows which revision is active, and which hosts differ.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,11 +8,11 @@
 use serde_json::json;
 
 use crate::base::digest::RequestDigest;
-use crate::command::operator::{self, HostCondition, HostStatus, daemon_address};
+use crate::command::operator::{self, HostCondition, HostStatus, required_address};
 use crate::command::output::{self, CommandOutput};
 
-/// Hosts that differ from the rest and are listed without `--all`: as many as a
-/// screen shows below the summary.
+/// Maximum number of differing hosts that are listed without `--all`: as many as fit on a
+/// screen below the summary.
 const MAX_LISTED: usize = 30;
 
 #[derive(Debug, Options)]
@@ -23,7 +23,7 @@
     #[options(required, help = "admin address of any daemon", meta = "IP:PORT")]
     daemon: Option<SocketAddr>,
 
-    #[options(no_short, help = "hosts of one data centre alone", meta = "NAME")]
+    #[options(no_short, help = "only hosts in one data centre", meta = "NAME")]
     data_centre: Option<String>,
 
     #[options(no_short, help = "list every host")]
@@ -46,46 +46,48 @@
 }
 
 impl HostStatus {
-    /// Returns what sets a host apart from one that serves by `newest`.
+    /// Returns how the host differs from one that serves calls with the newest revision.
     fn differences(&self, newest: Option<u64>) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut differences = Vec::new();
         if self.condition != HostCondition::Serving {
-            found.push(self.condition.label().to_owned());
+            differences.push(self.condition.label().to_owned());
         }
         match self.revision {
-            Some(revision) if self.revision != newest => found.push(format!("revision {revision}")),
+            Some(revision) if self.revision != newest => {
+                differences.push(format!("revision {revision}"))
+            }
             None if self.condition <= HostCondition::NotReady => {
-                found.push("no revision".to_owned());
+                differences.push("no revision".to_owned());
             }
             _ => {}
         }
         if self.store_lost && self.condition <= HostCondition::NoAnswer {
-            found.push("store lost".to_owned());
+            differences.push("store lost".to_owned());
         }
-        found
+        differences
     }
 }
 
 pub(crate) async fn run(options: &StatusOptions) -> CommandOutput {
-    let mut hosts = match operator::read_status(daemon_address(options.daemon)).await {
+    let mut hosts = match operator::read_status(required_address(options.daemon)).await {
         Ok(hosts) => hosts,
         Err(error) => return CommandOutput::from(&error),
     };
     if let Some(name) = &options.data_centre {
         let known = hosts.iter().map(|host| host.data_centre.as_str());
-        if let Err(end) = output::expect_known("data centre", name, known) {
-            return end;
+        if let Err(output) = output::expect_known("data centre", name, known) {
+            return output;
         }
         hosts.retain(|host| host.data_centre.as_str() == name);
     }
     if options.json {
-        return CommandOutput::done(output::to_json(&json!({ "hosts": hosts })));
+        return CommandOutput::success(output::to_json(&json!({ "hosts": hosts })));
     }
-    CommandOutput::done(render_status(&hosts, options.all))
+    CommandOutput::success(render_status(&hosts, options.all))
 }
 
-/// Renders the hosts for a person: a summary, the data centres, then the hosts that
-/// differ, or all of them.
+/// Renders the status as text: a summary, the data centres, and the hosts that differ or,
+/// with `all`, every host.
 #[must_use]
 pub fn render_status(hosts: &[HostStatus], all: bool) -> String {
     let newest = hosts.iter().filter_map(|host| host.revision).max();
@@ -121,11 +123,11 @@
         let known = hosts.iter().filter(|host| host.revision.is_some()).count();
         _ = write!(text, "\nrevision {newest} is in force at {current} of {known} that tell one");
     }
-    for (centre, said, known) in evacuated_centres(hosts) {
-        _ = write!(text, "\n{centre} is evacuated, as {said} of {known} hosts there say");
+    for (centre, reporting, answered) in evacuated_centres(hosts) {
+        _ = write!(text, "\n{centre} is evacuated, as {reporting} of {answered} hosts there say");
     }
-    for (digest, said) in blamed_requests(hosts) {
-        _ = write!(text, "\nheld back, since it ends targets: {digest}, as {said} hosts say");
+    for (digest, reporting) in blamed_requests(hosts) {
+        _ = write!(text, "\nheld back, since it ends targets: {digest}, as {reporting} hosts say");
     }
     if count(HostCondition::NoAnswer) > 0 {
         text.push_str("\npartial: what hosts without an answer have in force is not known");
@@ -134,20 +136,20 @@
     text
 }
 
-/// Returns the data centres that are evacuated, how many of their hosts say so, and how
-/// many answered.
+/// Returns the evacuated data centres, each with the number of its hosts that report the
+/// evacuation and the number that answered.
 fn evacuated_centres(hosts: &[HostStatus]) -> Vec<(&str, usize, usize)> {
     let mut centres: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for host in hosts.iter().filter(|host| host.condition <= HostCondition::NotReady) {
-        let (said, known) = centres.entry(host.data_centre.as_str()).or_default();
-        *said += usize::from(host.evacuated);
-        *known += 1;
+        let (reporting, answered) = centres.entry(host.data_centre.as_str()).or_default();
+        *reporting += usize::from(host.evacuated);
+        *answered += 1;
     }
-    let evacuated = centres.into_iter().filter(|(_, (said, _))| *said > 0);
-    evacuated.map(|(centre, (said, known))| (centre, said, known)).collect()
+    let evacuated = centres.into_iter().filter(|(_, (reporting, _))| *reporting > 0);
+    evacuated.map(|(centre, (reporting, answered))| (centre, reporting, answered)).collect()
 }
 
-/// Returns the requests that reach no target, and how many hosts say so.
+/// Returns the blocked requests, each with the number of hosts that report it.
 fn blamed_requests(hosts: &[HostStatus]) -> BTreeMap<RequestDigest, usize> {
     let mut requests = BTreeMap::new();
     for digest in hosts.iter().flat_map(|host| &host.blamed) {
@@ -156,7 +158,7 @@
     requests
 }
 
-/// Writes one line for each data centre, if there is more than one.
+/// Writes a table with one line for each data centre, if there are several.
 fn write_centres(text: &mut String, hosts: &[HostStatus]) {
     let mut centres: BTreeMap<&str, Vec<&HostStatus>> = BTreeMap::new();
     for host in hosts {
@@ -171,26 +173,28 @@
     for (centre, hosts) in centres {
         let count = |test: fn(&HostStatus) -> bool| hosts.iter().filter(|host| test(host)).count();
         let serving = count(|host| host.condition == HostCondition::Serving);
-        let silent = count(|host| host.condition == HostCondition::NoAnswer);
+        let unanswered = count(|host| host.condition == HostCondition::NoAnswer);
         let gone = count(|host| host.condition >= HostCondition::Down);
-        let lost = count(|host| host.store_lost && host.condition < HostCondition::Down);
+        let store_lost = count(|host| host.store_lost && host.condition < HostCondition::Down);
         _ = write!(text, "{centre:<20} {:>6} {serving:>6}", hosts.len());
-        _ = writeln!(text, " {silent:>10} {gone:>6} {lost:>11}");
+        _ = writeln!(text, " {unanswered:>10} {gone:>6} {store_lost:>11}");
     }
 }
 
+/// Writes one line for each listed host with its differences, up to [`MAX_LISTED`] lines
+/// unless `all` is set.
 fn write_hosts(text: &mut String, listed: &[(&HostStatus, Vec<String>)], all: bool) {
     if listed.is_empty() {
         return;
     }
     text.push_str(if all { "\nall hosts:\n" } else { "\nhosts that differ:\n" });
-    let most = if all { listed.len() } else { MAX_LISTED };
-    for (host, differences) in listed.iter().take(most) {
-        let what = if differences.is_empty() { "-".to_owned() } else { differences.join(", ") };
+    let limit = if all { listed.len() } else { MAX_LISTED };
+    for (host, differences) in listed.iter().take(limit) {
+        let details = if differences.is_empty() { "-".to_owned() } else { differences.join(", ") };
         let (name, centre) = (host.host.as_str(), host.data_centre.as_str());
-        _ = writeln!(text, "{name:<24} {centre:<20} {what}");
+        _ = writeln!(text, "{name:<24} {centre:<20} {details}");
     }
-    if listed.len() > most {
-        _ = writeln!(text, "and {} more; --all lists every host", listed.len() - most);
+    if listed.len() > limit {
+        _ = writeln!(text, "and {} more; --all lists every host", listed.len() - limit);
     }
 }
--- a/src/command/targets.rs
+++ b/src/command/targets.rs
@@ -1,4 +1,4 @@
-//! `railspan targets`: how many targets each service has, and which take no work.
+//! `railspan targets`: shows how many targets each service has, and which take no new calls.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,29 +8,29 @@
 use gumdrop::Options;
 
 use crate::base::member::MemberState;
-use crate::command::operator::{self, TargetStatus, daemon_address};
+use crate::command::operator::{self, TargetStatus, required_address};
 use crate::command::output::{self, CommandOutput};
 
-/// Targets that are listed without a filter or `--all`, if there are no more: a
-/// screen's worth. In a larger fleet only those that take no new work are.
+/// Maximum number of targets that are all listed without a filter or `--all`: a screenful.
+/// If there are more, only those that take no new calls are listed.
 const MAX_LISTED: usize = 30;
 
-/// A state that targets are asked for by.
+/// State by which targets can be filtered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TargetState {
-    /// It takes new work.
+    /// The target takes new calls.
     Ready,
-    /// It takes none, though its daemon answers.
+    /// The target takes no new calls, although its daemon is up.
     NotReady,
-    /// Its daemon does not answer or has left.
+    /// The target's daemon does not answer or has left the fleet.
     Down,
 }
 
 impl FromStr for TargetState {
     type Err = String;
 
-    fn from_str(word: &str) -> Result<Self, String> {
-        match word {
+    fn from_str(text: &str) -> Result<Self, String> {
+        match text {
             "ready" => Ok(Self::Ready),
             "not-ready" => Ok(Self::NotReady),
             "down" => Ok(Self::Down),
@@ -47,15 +47,15 @@
     #[options(required, help = "admin address of any daemon", meta = "IP:PORT")]
     daemon: Option<SocketAddr>,
 
-    #[options(no_short, help = "targets of one service alone", meta = "NAME")]
+    #[options(no_short, help = "only targets of one service", meta = "NAME")]
     service: Option<String>,
 
-    #[options(no_short, help = "targets in one data centre alone", meta = "NAME")]
+    #[options(no_short, help = "only targets in one data centre", meta = "NAME")]
     data_centre: Option<String>,
 
     #[options(
         no_short,
-        help = "targets in one state alone: ready, not-ready or down",
+        help = "only targets in one state: ready, not-ready or down",
         meta = "STATE"
     )]
     state: Option<TargetState>,
@@ -77,14 +77,11 @@
     }
 }
 
-/// Which targets are asked for; unset parts hold for all.
+/// Filter for targets; an unset field matches every target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct TargetFilter {
-    /// Their service.
     service: Option<String>,
-    /// Their data centre.
     data_centre: Option<String>,
-    /// Their state.
     state: Option<TargetState>,
 }
 
@@ -94,50 +91,59 @@
         data_centre: options.data_centre.clone(),
         state: options.state,
     };
-    let lines = match operator::list_targets(daemon_address(options.daemon)).await {
-        Ok(lines) => lines,
+    let statuses = match operator::list_targets(required_address(options.daemon)).await {
+        Ok(statuses) => statuses,
         Err(error) => return CommandOutput::from(&error),
     };
-    let listed = match filter_targets(&lines, &filter) {
+    let listed = match filter_targets(&statuses, &filter) {
         Ok(listed) => listed,
-        Err(end) => return end,
+        Err(output) => return output,
     };
     if options.json {
-        return CommandOutput::done(output::to_json(&listed));
+        return CommandOutput::success(output::to_json(&listed));
     }
     let all = options.all || filter != TargetFilter::default();
-    CommandOutput::done(render_targets(&listed, all))
+    CommandOutput::success(render_targets(&listed, all))
 }
 
-/// Returns the targets that a filter lets through; `Err` if it names what is not there.
+/// Returns the targets that match a filter.
+///
+/// # Errors
+///
+/// Returns the command's output if the filter names an unknown service or data centre.
 fn filter_targets(
-    lines: &[TargetStatus],
+    statuses: &[TargetStatus],
     filter: &TargetFilter,
 ) -> Result<Vec<TargetStatus>, CommandOutput> {
-    let mut listed: Vec<&TargetStatus> = lines.iter().collect();
+    let mut listed: Vec<&TargetStatus> = statuses.iter().collect();
     if let Some(state) = filter.state {
-        listed.retain(|line| line.state() == state);
+        listed.retain(|status| status.state() == state);
     }
     if let Some(name) = &filter.service {
-        output::expect_known("service", name, lines.iter().map(|line| line.service.as_str()))?;
-        listed.retain(|line| line.service.as_str() == name);
+        output::expect_known(
+            "service",
+            name,
+            statuses.iter().map(|status| status.service.as_str()),
+        )?;
+        listed.retain(|status| status.service.as_str() == name);
     }
     if let Some(name) = &filter.data_centre {
-        let known = lines.iter().map(|line| line.data_centre.as_str());
+        let known = statuses.iter().map(|status| status.data_centre.as_str());
         output::expect_known("data centre", name, known)?;
-        listed.retain(|line| line.data_centre.as_str() == name);
+        listed.retain(|status| status.data_centre.as_str() == name);
     }
     Ok(listed.into_iter().cloned().collect())
 }
 
-/// Renders targets for a person: a line for each service, then the targets that take
-/// no new work, or all of them if `all` is set or they are few.
+/// Renders targets as text: a line for each service, then the targets that take no new
+/// calls, or all targets if `all` is set or there are at most [`MAX_LISTED`].
 #[must_use]
-pub fn render_targets(lines: &[TargetStatus], all: bool) -> String {
+pub fn render_targets(statuses: &[TargetStatus], all: bool) -> String {
     let mut text = String::new();
-    write_services(&mut text, lines);
-    let all = all || lines.len() <= MAX_LISTED;
-    let listed: Vec<&TargetStatus> = lines.iter().filter(|line| all || !line.ready).collect();
+    write_services(&mut text, statuses);
+    let all = all || statuses.len() <= MAX_LISTED;
+    let listed: Vec<&TargetStatus> =
+        statuses.iter().filter(|status| all || !status.ready).collect();
     if listed.is_empty() {
         return text.trim_end().to_owned();
     }
@@ -146,35 +152,36 @@
     }
     let head = ["SERVICE", "TARGET", "HOST", "DATA CENTRE", "DAEMON", "READY", "SLOTS"];
     write_row(&mut text, head.map(str::to_owned));
-    for line in listed {
-        write_row(&mut text, columns(line));
+    for status in listed {
+        write_row(&mut text, columns(status));
     }
     text
 }
 
-fn write_services(text: &mut String, lines: &[TargetStatus]) {
+/// Writes a table with one line for each service.
+fn write_services(text: &mut String, statuses: &[TargetStatus]) {
     let mut services: BTreeMap<&str, Vec<&TargetStatus>> = BTreeMap::new();
-    for line in lines {
-        services.entry(line.service.as_str()).or_default().push(line);
+    for status in statuses {
+        services.entry(status.service.as_str()).or_default().push(status);
     }
     _ = write!(text, "{:<20} {:>8} {:>6} {:>10}", "SERVICE", "TARGETS", "READY", "SLOTS READY");
-    for (service, lines) in services {
-        let ready: Vec<_> = lines.iter().filter(|line| line.ready).collect();
-        let slots: u32 = ready.iter().map(|line| u32::from(line.slots)).sum();
-        _ = write!(text, "\n{service:<20} {:>8} {:>6} {slots:>11}", lines.len(), ready.len());
+    for (service, statuses) in services {
+        let ready: Vec<_> = statuses.iter().filter(|status| status.ready).collect();
+        let slots: u32 = ready.iter().map(|status| u32::from(status.slots)).sum();
+        _ = write!(text, "\n{service:<20} {:>8} {:>6} {slots:>11}", statuses.len(), ready.len());
     }
     text.push('\n');
 }
 
-fn columns(line: &TargetStatus) -> [String; 7] {
+fn columns(status: &TargetStatus) -> [String; 7] {
     [
-        line.service.to_string(),
-        line.target.to_string(),
-        line.host.to_string(),
-        line.data_centre.to_string(),
-        format!("{:?}", line.daemon).to_lowercase(),
-        if line.ready { "yes" } else { "no" }.to_owned(),
-        line.slots.to_string(),
+        status.service.to_string(),
+        status.target.to_string(),
+        status.host.to_string(),
+        status.data_centre.to_string(),
+        format!("{:?}", status.daemon).to_lowercase(),
+        if status.ready { "yes" } else { "no" }.to_owned(),
+        status.slots.to_string(),
     ]
 }
 
--- a/src/command/trace.rs
+++ b/src/command/trace.rs
@@ -1,4 +1,4 @@
-//! `railspan trace`: the story of one request from daemons' logs.
+//! `railspan trace`: shows what the daemons' logs contain about one request.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -16,44 +16,48 @@
     #[options(help = "print this help")]
     help: bool,
 
-    #[options(no_short, help = "print the story as JSON")]
+    #[options(no_short, help = "print the trace as JSON")]
     json: bool,
 
-    #[options(free, required, help = "the request's id, or its digest for all copies")]
+    #[options(free, required, help = "id of the request, or its digest for all copies")]
     id: String,
 
-    #[options(free, help = "log files of any daemons")]
+    #[options(free, help = "log files of daemons")]
     files: Vec<String>,
 }
 
 pub(crate) fn run(options: &TraceOptions) -> CommandOutput {
-    let story = match read_story(&options.id, &options.files) {
-        Ok(story) => story,
-        Err(findings) => return check::report(&findings, options.json),
+    let trace = match read_trace(&options.id, &options.files) {
+        Ok(trace) => trace,
+        Err(findings) => return check::findings_output(&findings, options.json),
     };
-    for finding in &story.findings {
+    for finding in &trace.findings {
         eprintln!("{finding}");
     }
-    if story.lines.is_empty() {
-        let text = format!("no line tells of `{}`", options.id);
+    if trace.lines.is_empty() {
+        let text = format!("no log line about `{}`", options.id);
         return CommandOutput::new(CommandExit::Refused, text);
     }
-    let plain = || story.render().trim_end().to_owned();
-    CommandOutput::done(if options.json { output::to_json(&story) } else { plain() })
+    let plain = || trace.render().trim_end().to_owned();
+    CommandOutput::success(if options.json { output::to_json(&trace) } else { plain() })
 }
 
-/// Reads a request's lines from files, a line at a time: the logs of hundreds of
-/// daemons are larger than memory.
-fn read_story(id: &str, names: &[String]) -> Result<RequestTrace, FindingList> {
+/// Reads a request's trace from files, line by line, since the logs of hundreds of daemons
+/// don't fit in memory.
+///
+/// # Errors
+///
+/// Returns a finding for each file that can't be read.
+fn read_trace(id: &str, names: &[String]) -> Result<RequestTrace, FindingList> {
     let mut logs = Vec::new();
     let mut findings = Vec::new();
     for name in names {
         match File::open(name).and_then(|log| Ok((log.metadata()?.len(), log))) {
             Ok((bytes, log)) => logs.push((name, bytes, BufReader::new(log))),
-            Err(error) => findings.push(check::unreadable(name, &error)),
+            Err(error) => findings.push(check::unreadable_file(name, &error)),
         }
     }
-    let mut story = RequestTrace::open(id);
+    let mut trace = RequestTrace::open(id);
     let mut progress = CommandProgress::open(logs.iter().map(|(_, bytes, _)| bytes).sum());
     let mut done = 0;
     for (name, _, mut log) in logs {
@@ -64,17 +68,17 @@
                 Ok(0) => break,
                 Ok(bytes) => done += bytes as u64,
                 Err(error) => {
-                    findings.push(check::unreadable(name, &error));
+                    findings.push(check::unreadable_file(name, &error));
                     break;
                 }
             }
-            story.take(name, number, &String::from_utf8_lossy(&line));
+            trace.add_line(name, number, &String::from_utf8_lossy(&line));
             progress.set(done);
         }
     }
     if !findings.is_empty() {
         return Err(FindingList(findings));
     }
-    story.sort();
-    Ok(story)
+    trace.sort_by_time();
+    Ok(trace)
 }
