--- a/src/call/guard/guarded_call.rs
+++ b/src/call/guard/call_admission.rs
@@ -1,7 +1,7 @@
-//! A call's way through a guard, from the entry's stream to its dispatch.
+//! Receives a call from an entry's stream and admits it, up to its dispatch.
 //!
-//! Must hold: a call is dispatched at most once, and one that was told not to have
-//! run never will be.
+//! Invariants: a call is dispatched at most once; a call that was reported as not run is
+//! never dispatched.
 
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -19,15 +19,15 @@
 use crate::base::ids::CallId;
 use crate::base::suspect::SuspectNotice;
 use crate::base::wire::{AnswerHead, CallHead, KeyClaim, RefusalReason, RevokeHead, RevokeReply};
-use crate::call::guard::crashes::RunEnd;
-use crate::call::guard::served::{ClaimPlace, HeldClaim, ServedCall};
-use crate::call::guard::{GuardDuty, LEAVING_RETRY_MS, StartSignal};
+use crate::call::guard::crash_detection::RunOutcome;
+use crate::call::guard::served_call::{ClaimPermit, HeldClaim, ServedCall};
+use crate::call::guard::{AdmissionDecision, GuardDuty, UNAVAILABLE_RETRY_MS};
 use crate::decide::admission::{AdmissionAction, AdmissionEvent, WaitingCall};
 use crate::duty::events::PlatformEvent;
 use crate::store::claim::{ClaimReply, ClaimRequest};
 use crate::store::table::TableWrite;
 
-/// When to come back after the table did not accept a claim, in milliseconds.
+/// Retry delay for calls whose claim the table did not accept, in milliseconds.
 const PLATFORM_RETRY_MS: u32 = 1_000;
 
 impl GuardDuty {
@@ -48,16 +48,16 @@
         }
     }
 
-    /// Makes sure that a call does not run, or tells what became of it.
+    /// Revokes a call that was not dispatched yet; returns the call's status.
     fn revoke(&self, call: CallId) -> CallStatus {
         let status = self.ledger.borrow_mut().revoke(self.clock.now(), call);
         if status == CallStatus::NotRun {
             let refusal = AdmissionAction::Refuse {
                 call,
                 reason: RefusalReason::Revoked,
-                retry_after_ms: LEAVING_RETRY_MS,
+                retry_after_ms: UNAVAILABLE_RETRY_MS,
             };
-            self.carry_out(vec![refusal]);
+            self.execute_actions(vec![refusal]);
         }
         status
     }
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Brings a call to the point of dispatch, or to an answer that it did not run.
+    /// Admits a call up to its dispatch; `Err` holds the answer for one that did not run.
     ///
-    /// `Err(None)` is a caller that has gone.
+    /// `Err(None)` means that the entry reset the stream, so nobody waits for an answer.
     async fn admit(
         &self,
         call: &ServedCall,
@@ -98,89 +98,91 @@
         respond: &mut SendResponse<Bytes>,
     ) -> Result<Option<HeldClaim>, Option<AnswerHead>> {
         if head.incarnation != self.incarnation || !self.targets.borrow().contains_key(&call.key) {
-            return Err(Some(self.refusal(call, RefusalReason::Absent, LEAVING_RETRY_MS)));
+            return Err(Some(self.refusal(call, RefusalReason::Absent, UNAVAILABLE_RETRY_MS)));
         }
         if !self.ledger.borrow_mut().arrive(self.clock.now(), head.call) {
-            return Err(Some(self.refusal(call, RefusalReason::Revoked, LEAVING_RETRY_MS)));
+            return Err(Some(self.refusal(call, RefusalReason::Revoked, UNAVAILABLE_RETRY_MS)));
         }
-        self.learn_suspects(&[SuspectNotice { digest: head.digest, record: head.suspect }]);
-        let turn = self.wait_alone(call).await;
-        let turn = turn.map_err(|reason| {
-            self.bury(call);
-            Some(self.refusal(call, reason, LEAVING_RETRY_MS))
+        self.record_suspects(&[SuspectNotice { digest: head.digest, record: head.suspect }]);
+        let lock = self.wait_for_exclusive_run(call).await;
+        let lock = lock.map_err(|reason| {
+            self.prevent_dispatch(call);
+            Some(self.refusal(call, reason, UNAVAILABLE_RETRY_MS))
         })?;
-        call.turn.replace(turn);
-        let signal = self.enqueue(call, head);
-        let started = tokio::select! {
-            signal = signal => signal.unwrap_or(Err((RefusalReason::Leaving, LEAVING_RETRY_MS))),
+        call.exclusive_lock.replace(lock);
+        let decision = self.enqueue(call, head);
+        let admitted = tokio::select! {
+            decision = decision => decision.unwrap_or(Err((RefusalReason::Leaving, UNAVAILABLE_RETRY_MS))),
             _ = poll_fn(|cx| respond.poll_reset(cx)) => {
-                self.bury(call);
+                self.prevent_dispatch(call);
                 return Err(None);
             }
         };
-        if let Err((reason, retry_after_ms)) = started {
-            self.bury(call);
+        if let Err((reason, retry_after_ms)) = admitted {
+            self.prevent_dispatch(call);
             return Err(Some(self.refusal(call, reason, retry_after_ms)));
         }
-        call.started.set(Some(self.clock.now()));
+        call.started_at.set(Some(self.clock.now()));
         let claim = match &head.claim {
             Some(claim) => Some(self.claim(call, head, claim).await.map_err(|reply| {
-                self.bury(call);
+                self.prevent_dispatch(call);
                 Some(reply)
             })?),
             None => None,
         };
         let in_time = self.clock.now() < call.deadline;
-        // The last look: what became known while the call waited holds for it, too.
-        let harmless = self.begin_run(call);
-        if harmless.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
+        // Checks the request's record again: it may have changed while the call waited.
+        let begun = self.begin_run(call);
+        if begun.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
             return Ok(claim);
         }
-        self.end_run(call, RunEnd::NotRun);
+        self.end_run(call, RunOutcome::NotRun);
         if let Some(claim) = claim {
-            self.write(TableWrite { key: claim.key, expect: Some(claim.version), value: None });
+            self.write_row(TableWrite { key: claim.key, expect: Some(claim.version), value: None });
         }
-        self.bury(call);
-        let late = if in_time { RefusalReason::Revoked } else { RefusalReason::TooLate };
-        let reason = harmless.err().unwrap_or(late);
-        Err(Some(self.refusal(call, reason, LEAVING_RETRY_MS)))
+        self.prevent_dispatch(call);
+        let fallback = if in_time { RefusalReason::Revoked } else { RefusalReason::TooLate };
+        let reason = begun.err().unwrap_or(fallback);
+        Err(Some(self.refusal(call, reason, UNAVAILABLE_RETRY_MS)))
     }
 
-    fn enqueue(&self, call: &ServedCall, head: &CallHead) -> oneshot::Receiver<StartSignal> {
-        let (waiter, signal) = oneshot::channel();
+    /// Puts a call in its target's queue; the receiver gets the admission decision.
+    fn enqueue(&self, call: &ServedCall, head: &CallHead) -> oneshot::Receiver<AdmissionDecision> {
+        let (waiter, decision) = oneshot::channel();
         self.waiters.borrow_mut().insert(head.call, waiter);
-        call.entered.set(true);
+        call.enqueued.set(true);
         let waiting = WaitingCall {
             call: head.call,
             account: head.account.clone(),
             share: head.share,
             priority: head.priority,
             deadline: call.deadline,
-            give_up: call.deadline.min(call.give_up),
+            give_up: call.deadline.min(call.queue_deadline),
             work_us: head.work_us,
             last: head.last,
         };
         if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
-            target.used = self.clock.now();
+            target.last_call_at = self.clock.now();
         }
         self.step_queue(&call.key, AdmissionEvent::Arrive(waiting));
-        signal
+        decision
     }
 
-    /// Makes sure that a call that was not dispatched never will be.
-    fn bury(&self, call: &ServedCall) {
+    /// Makes sure that a call which was not dispatched never will be.
+    fn prevent_dispatch(&self, call: &ServedCall) {
         self.waiters.borrow_mut().remove(&call.call);
         self.ledger.borrow_mut().revoke(self.clock.now(), call.call);
     }
 
-    /// Writes the claim of a keyed call; the call holds its slot meanwhile.
+    /// Writes the claim of a call with an idempotency key; the call keeps its slot
+    /// meanwhile.
     async fn claim(
         &self,
         call: &ServedCall,
         head: &CallHead,
         claim: &KeyClaim,
     ) -> Result<HeldClaim, AnswerHead> {
-        let Some(place) = ClaimPlace::take(call) else {
+        let Some(permit) = ClaimPermit::acquire(call) else {
             return Err(self.refusal(call, RefusalReason::Full, PLATFORM_RETRY_MS));
         };
         let row = ClaimRow {
@@ -198,11 +200,11 @@
             expect: claim.takeover.unwrap_or(0),
             reply,
         };
-        let down = || self.refusal(call, RefusalReason::PlatformDown, PLATFORM_RETRY_MS);
-        self.rings.platform.push(PlatformEvent::Claim(request)).map_err(|_full| down())?;
-        let left = call.deadline.since(self.clock.now()).duration();
-        let answer = timeout(CLAIM_TIMEOUT.min(left), answer).await;
-        drop(place);
+        let unavailable = || self.refusal(call, RefusalReason::PlatformDown, PLATFORM_RETRY_MS);
+        self.rings.platform.push(PlatformEvent::Claim(request)).map_err(|_full| unavailable())?;
+        let remaining = call.deadline.since(self.clock.now()).duration();
+        let answer = timeout(CLAIM_TIMEOUT.min(remaining), answer).await;
+        drop(permit);
         match answer {
             Ok(Ok(ClaimReply::Held(version))) => {
                 Ok(HeldClaim { key: claim.row.clone(), version, row })
@@ -210,11 +212,16 @@
             Ok(Ok(ClaimReply::Found { row, version })) => {
                 Err(AnswerHead::Claimed { call: head.call, row, version })
             }
-            _ => Err(down()),
+            _ => Err(unavailable()),
         }
     }
 }
 
+/// Reads a call's head and body.
+///
+/// # Errors
+///
+/// Fails when the stream breaks, or when the body is longer than `max_body` bytes.
 async fn receive_call(
     reader: &mut HeadReader,
     max_body: usize,
--- /dev/null
+++ b/src/call/guard/crash_detection.rs
@@ -0,0 +1,205 @@
+//! Detection of requests that crash targets: records which requests ran on a target that
+//! ended, and checks each call for suspicion right before it starts.
+//!
+//! A lost connection doesn't prove that a target ended: the target may have closed only
+//! that connection, or be stalled. Proof is that nothing listens at its address any more,
+//! that another target answers there, or that the target itself reports a restart.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use slog::info;
+use tokio::sync::{OwnedMutexGuard, watch};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+use super::GuardDuty;
+use super::health::{self, TargetLiveness};
+use crate::base::digest::RequestDigest;
+use crate::base::ids::{ServiceName, TargetName};
+use crate::base::suspect::{SuspectNotice, SuspectRecord};
+use crate::base::wire::RefusalReason;
+use crate::call::guard::served_call::ServedCall;
+use crate::decide::run_roster::TrackedRun;
+use crate::duty::events::{PeersEvent, SuspectSource};
+
+/// Maximum time that a lost call waits until it is known whether its target ended, so
+/// that the entry knows before it retries. On one host the check takes about a
+/// millisecond.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Interval between liveness checks while the result is unclear.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Maximum number of liveness checks; together they take longer than a target is likely
+/// to stall.
+const MAX_CHECKS: u32 = 30;
+
+/// Maximum number of digests in one log line.
+const MAX_LOGGED_DIGESTS: usize = 8;
+
+type TargetKey = (ServiceName, TargetName);
+
+impl GuardDuty {
+    /// Merges notices about suspected requests into what is known.
+    pub(crate) fn record_suspects(&self, notices: &[SuspectNotice]) {
+        let now = self.clock.now();
+        let mut suspects = self.suspects.borrow_mut();
+        for notice in notices {
+            suspects.learn(now, *notice);
+        }
+    }
+
+    /// Returns the crash record of a request.
+    pub(crate) fn suspect_record(&self, digest: RequestDigest) -> SuspectRecord {
+        self.suspects.borrow().standing(digest)
+    }
+
+    /// Waits until a suspected call may run on its target.
+    ///
+    /// Calls whose requests are suspected of several crashes run one at a time, so that
+    /// the next crash identifies the request at fault.
+    pub(super) async fn wait_for_exclusive_run(
+        &self,
+        call: &ServedCall,
+    ) -> Result<Option<OwnedMutexGuard<()>>, RefusalReason> {
+        if !self.suspect_record(call.digest).is_tried_alone() {
+            return Ok(None);
+        }
+        let mutex =
+            self.targets.borrow().get(&call.key).map(|target| Arc::clone(&target.exclusive_run));
+        let Some(mutex) = mutex else { return Err(RefusalReason::Absent) };
+        let remaining = call.queue_deadline.min(call.deadline).since(self.clock.now()).duration();
+        let lock = timeout(remaining, mutex.lock_owned()).await;
+        lock.map(Some).map_err(|_elapsed| RefusalReason::TooLate)
+    }
+
+    /// Records that a call starts to run; refuses it if its request is blamed for crashes.
+    pub(super) fn begin_run(&self, call: &ServedCall) -> Result<(), RefusalReason> {
+        let began_with = self.suspect_record(call.digest);
+        if began_with.is_blamed() {
+            return Err(RefusalReason::EndsTargets);
+        }
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+            target
+                .running_requests
+                .begin(call.call, TrackedRun { digest: call.digest, began_with });
+        }
+        Ok(())
+    }
+
+    /// Records how a run ended; an answer from the target clears its request of suspicion.
+    pub(super) fn end_run(&self, call: &ServedCall, outcome: RunOutcome) {
+        let now = self.clock.now();
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+            match outcome {
+                RunOutcome::Answered | RunOutcome::NotRun => {
+                    target.running_requests.finish(call.call)
+                }
+                RunOutcome::Unanswered => target.running_requests.leave(now, call.call),
+            }
+        }
+        let record = self.suspect_record(call.digest);
+        if outcome == RunOutcome::Answered && record.is_suspected() {
+            let record = record.after_clearance();
+            info!(self.logger, "request cleared"; "id" => &*call.id, "digest" => %call.digest);
+            self.publish_suspects(vec![SuspectNotice { digest: call.digest, record }]);
+        }
+    }
+
+    /// Checks whether a target ended after it lost a call.
+    ///
+    /// Returns when the result is known, but after [`CRASH_CHECK_TIMEOUT`] at the latest.
+    pub(super) async fn wait_for_crash_check(self: &Rc<Self>, key: &TargetKey) {
+        let Some(mut crash_check) = self.start_crash_check(key) else { return };
+        let done = crash_check.wait_for(|running| !*running);
+        // After the timeout the check goes on in the background, for later calls.
+        drop(timeout(CRASH_CHECK_TIMEOUT, done).await);
+    }
+
+    /// Returns the crash check of a target that is in progress, or starts one.
+    ///
+    /// The receiver turns `false` when the check is done.
+    fn start_crash_check(self: &Rc<Self>, key: &TargetKey) -> Option<watch::Receiver<bool>> {
+        let mut targets = self.targets.borrow_mut();
+        let target = targets.get_mut(key)?;
+        if let Some(current) = target.crash_check.clone().filter(|check| *check.borrow()) {
+            return Some(current);
+        }
+        let (running, crash_check) = watch::channel(true);
+        target.crash_check = Some(crash_check.clone());
+        let (duty, key) = (Rc::clone(self), key.clone());
+        spawn_local(async move {
+            for _ in 0..MAX_CHECKS {
+                match health::check_liveness(&duty, &key).await {
+                    TargetLiveness::Running => break,
+                    TargetLiveness::Ended => {
+                        duty.suspect_running(&key);
+                        duty.expire_lease(&key);
+                        break;
+                    }
+                    TargetLiveness::Unknown => sleep(CHECK_INTERVAL).await,
+                }
+            }
+            running.send_replace(false);
+        });
+        Some(crash_check)
+    }
+
+    /// Checks in the background whether a target that accepted no connection ended.
+    pub(super) fn check_for_crash(self: &Rc<Self>, key: &TargetKey) {
+        drop(self.start_crash_check(key));
+    }
+
+    /// Expires the lease of a target that ended: it gets no calls until its next heartbeat.
+    fn expire_lease(&self, key: &TargetKey) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(key) {
+            target.lease.lapse();
+        }
+        self.apply_leases();
+    }
+
+    /// Marks the requests that ran on a target as suspects when it ends unannounced.
+    pub(super) fn suspect_running(&self, key: &TargetKey) {
+        let now = self.clock.now();
+        let notices = self.targets.borrow_mut().get_mut(key).map(|target| target.end_runs(now));
+        self.report_suspects(&key.1, notices.unwrap_or_default());
+    }
+
+    /// Logs and publishes which requests ran on a target when it crashed.
+    pub(super) fn report_suspects(&self, target: &TargetName, notices: Vec<SuspectNotice>) {
+        if notices.is_empty() {
+            return;
+        }
+        self.metrics.crashes.inc();
+        let digests: Vec<String> = notices
+            .iter()
+            .take(MAX_LOGGED_DIGESTS)
+            .map(|notice| notice.digest.to_string())
+            .collect();
+        let crashes = notices.iter().map(|notice| notice.record.crashes).max();
+        info!(self.logger, "target crashed"; "target" => %target, "calls" => notices.len(),
+            "crashes" => crashes, "digests" => digests.join(" "));
+        self.publish_suspects(notices);
+    }
+
+    fn publish_suspects(&self, notices: Vec<SuspectNotice>) {
+        self.record_suspects(&notices);
+        let source = SuspectSource::Guard;
+        if self.rings.peers.push(PeersEvent::Suspects { notices, source }).is_err() {
+            self.metrics.shed.with_label_values(&["peers"]).inc();
+        }
+    }
+}
+
+/// How a run ended, as far as it matters for suspicion of its request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RunOutcome {
+    /// The target answered, so it survived the request.
+    Answered,
+    /// The target did not run it, as it reports itself, or never received it.
+    NotRun,
+    /// The outcome is unknown; the request may still be running.
+    Unanswered,
+}
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -1,4 +1,4 @@
-//! What entries ask a guard by datagram: a target's load, a part of a quota.
+//! Datagrams from entries: load probes of a target and requests for a part of a quota.
 
 use std::rc::Rc;
 
@@ -9,13 +9,17 @@
 use crate::base::wire::{self, GuardDatagram, GuardReply, ProbeReply, ProbeRequest};
 
 impl GuardDuty {
-    /// Answers what entries ask by datagram; a lost answer is asked for again, or missed.
+    /// Answers the entries' datagrams.
+    ///
+    /// Sending is best effort: an entry repeats its request, or does without the answer.
     pub(super) async fn answer_datagrams(self: Rc<Self>, socket: UdpSocket) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
             let reply = match wire::decode(&buffer[..length]) {
-                Ok(GuardDatagram::Probe(request)) => self.measure(request).map(GuardReply::Probe),
+                Ok(GuardDatagram::Probe(request)) => {
+                    self.probe_load(request).map(GuardReply::Probe)
+                }
                 Ok(GuardDatagram::Quota(request)) => {
                     Some(GuardReply::Quota(self.quotas.answer(self.clock.now(), &request)))
                 }
@@ -27,7 +31,9 @@
         }
     }
 
-    fn measure(&self, request: ProbeRequest) -> Option<ProbeReply> {
+    /// Returns the load of a target, or nothing if the probe is for another incarnation
+    /// of this daemon or an unknown target.
+    fn probe_load(&self, request: ProbeRequest) -> Option<ProbeReply> {
         let ProbeRequest { incarnation, service, target } = request;
         if incarnation != self.incarnation {
             return None;
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -1,9 +1,9 @@
-//! A guard's questions to its own target: who are you, and how slow is work now?
+//! Health checks of a guard's own target, which return its identity and its current
+//! slowness.
 //!
-//! Answers carry the same report, but a target whose work has just become slow
-//! answers late. A question is asked only when no report came for a while and
-//! calls run or came lately; it is answered at once and costs little, but not
-//! nothing.
+//! Answers to calls carry the same report, but arrive late from a target that has just
+//! become slow. A health check is sent only if no report came for a while and the target
+//! is in use: it is answered at once and cheap, but not free.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -20,100 +20,114 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{ServiceName, TargetName};
 use crate::call::guard::GuardDuty;
-use crate::call::guard::cold::ColdSource;
+use crate::call::guard::cold_targets::ColdSource;
 use crate::call::guard::target_call;
 use crate::call::headers::{self, HeaderNames};
 use crate::decide::lease::TargetCondition;
 use crate::duty::target_report::{TargetAnnouncement, TargetReport};
 
-/// Time after its last call that a target counts as in use.
-const IN_USE: MicroTime = MicroTime::from_millis(1_000);
+/// Time for which a target counts as in use after its last call.
+const IN_USE_WINDOW: MicroTime = MicroTime::from_millis(1_000);
 
-/// Time between two questions to a target that counts as cold until it answers: as
-/// often as one that is in use is asked at most.
-const DOUBTED_AFTER: MicroTime = MicroTime::from_millis(40);
+/// Interval between health checks of a target that is assumed cold until it answers:
+/// as short as the shortest one for targets in use.
+const ASSUMED_COLD_INTERVAL: MicroTime = MicroTime::from_millis(40);
 
-/// Longest wait for the answer; it comes at once or is of no use.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
+/// Maximum wait for an answer: a later one would be out of date.
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time between two questions to a target that was not heard of since the start.
-const FIND_EVERY: Duration = Duration::from_millis(100);
+/// Interval between attempts to discover the target after the daemon's start.
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Questions at the start, until heartbeats are waited for instead.
-const FIND_TRIES: u32 = 30;
+/// Discovery attempts, after which the guard relies on the target's heartbeat.
+const DISCOVERY_ATTEMPTS: u32 = 30;
 
-/// Asks targets in use whose slowness is not known any more.
-pub(crate) fn ask_stale(duty: &Rc<GuardDuty>, now: MicroTime) {
+/// Sends health checks to targets in use whose last known slowness is out of date.
+pub(crate) fn poll_stale_targets(duty: &Rc<GuardDuty>, now: MicroTime) {
     let mut targets = duty.targets.borrow_mut();
     for (key, target) in targets.iter_mut() {
-        let doubted = target.queue.cold().is_doubted() && target.queue.cold().is_cold(now);
-        let used = now.since(target.used) < IN_USE || target.running() > 0 || doubted;
-        let after = if doubted { DOUBTED_AFTER } else { target.queue.speed().stale_after() };
-        let stale = now.since(target.slowness_heard) >= after;
-        if !(used && stale && target.is_open()) {
+        let assumed_cold = target.queue.cold().is_doubted() && target.queue.cold().is_cold(now);
+        let in_use =
+            now.since(target.last_call_at) < IN_USE_WINDOW || target.running() > 0 || assumed_cold;
+        let interval =
+            if assumed_cold { ASSUMED_COLD_INTERVAL } else { target.queue.speed().stale_after() };
+        let stale = now.since(target.slowness_updated_at) >= interval;
+        if !(in_use && stale && target.is_open()) {
             continue;
         }
-        let Some(path) = duty.check_path() else { return };
-        // Counts as heard, so that the next question comes after the answer.
-        target.slowness_heard = now;
+        let Some(path) = duty.health_path() else { return };
+        // Counts as updated, so that the next check comes after the answer to this one.
+        target.slowness_updated_at = now;
         let address = target.announcement.address;
-        tokio::task::spawn_local(ask_one(Rc::clone(duty), key.clone(), address, path));
+        tokio::task::spawn_local(poll_target(Rc::clone(duty), key.clone(), address, path));
     }
 }
 
-async fn ask_one(
+async fn poll_target(
     duty: Rc<GuardDuty>,
     key: (ServiceName, TargetName),
     address: SocketAddr,
     path: String,
 ) {
-    let Some(answer) = ask(&duty, address, &path).await else {
-        duty.doubt(&key);
+    let Some(reply) = fetch_health(&duty, address, &path).await else {
+        duty.assume_cold(&key);
         return;
     };
     let names = duty.names;
-    let by = names.running_target.and_then(|name| headers::text(&answer.headers, name));
-    if by.is_some_and(|name| name != key.1.as_str()) {
+    let sender = names.running_target.and_then(|name| headers::text(&reply.headers, name));
+    if sender.is_some_and(|name| name != key.1.as_str()) {
         return;
     }
-    duty.hear_cold(&key, cold_left(&answer.headers, names), ColdSource::Answer);
-    if let Some(percent) = target_call::slowness(&answer.headers, names).filter(|_| answer.good) {
-        duty.note_slowness(&key, percent);
+    duty.update_cold_remaining(
+        &key,
+        parse_cold_remaining(&reply.headers, names),
+        ColdSource::Answer,
+    );
+    if let Some(percent) =
+        target_call::parse_slowness(&reply.headers, names).filter(|_| reply.healthy)
+    {
+        duty.update_slowness(&key, percent);
     }
 }
 
-/// Reads how much longer a target stays cold; one that says nothing is not.
-fn cold_left(answer: &HeaderMap, names: &HeaderNames) -> Duration {
+/// Reads how much longer a target stays cold; zero if the header is missing or invalid.
+fn parse_cold_remaining(answer: &HeaderMap, names: &HeaderNames) -> Duration {
     let text = names.cold_left_ms.and_then(|name| headers::text(answer, name));
     let left_ms = text.and_then(|text| text.trim().parse::<f64>().ok()).unwrap_or_default();
     Duration::try_from_secs_f64(left_ms / 1_000.0).unwrap_or_default()
 }
 
-/// Finds the target of this host at the daemon's start, before its heartbeat.
-pub(crate) async fn find_target(duty: Rc<GuardDuty>, service: ServiceName, address: SocketAddr) {
-    for _ in 0..FIND_TRIES {
+/// Discovers the target of this host at the daemon's start, before its first heartbeat.
+pub(crate) async fn discover_target(
+    duty: Rc<GuardDuty>,
+    service: ServiceName,
+    address: SocketAddr,
+) {
+    for _ in 0..DISCOVERY_ATTEMPTS {
         if !duty.targets.borrow().is_empty() {
             return;
         }
-        if let Some(path) = duty.check_path()
-            && let Some(answer) = ask(&duty, address, &path).await.filter(|answer| answer.good)
-            && let Some(announcement) = read_announcement(&duty, &answer.headers, &service, address)
+        if let Some(path) = duty.health_path()
+            && let Some(reply) =
+                fetch_health(&duty, address, &path).await.filter(|reply| reply.healthy)
+            && let Some(announcement) = read_announcement(&duty, &reply.headers, &service, address)
             && duty.targets.borrow().is_empty()
         {
-            info!(duty.logger, "target found"; "target" => %announcement.target);
-            let cold = cold_left(&answer.headers, duty.names);
-            duty.take_report(TargetReport::Alive {
+            info!(duty.logger, "target discovered"; "target" => %announcement.target);
+            let cold_remaining = parse_cold_remaining(&reply.headers, duty.names);
+            duty.handle_report(TargetReport::Alive {
                 announcement,
                 started_at_ms: None,
                 sequence: 0,
-                cold_remaining: cold,
+                cold_remaining,
             });
             return;
         }
-        tokio::time::sleep(FIND_EVERY).await;
+        tokio::time::sleep(DISCOVERY_INTERVAL).await;
     }
 }
 
+/// Makes a target's announcement from the headers of a health check's answer.
 fn read_announcement(
     duty: &GuardDuty,
     answer: &HeaderMap,
@@ -121,7 +135,7 @@
     address: SocketAddr,
 ) -> Option<TargetAnnouncement> {
     let name = headers::text(answer, duty.names.running_target?)?;
-    let slots = target_call::slots(answer, duty.names)?;
+    let slots = target_call::parse_slots(answer, duty.names)?;
     Some(TargetAnnouncement {
         service: service.clone(),
         target: TargetName::from(name),
@@ -131,56 +145,60 @@
     })
 }
 
-/// Whether a target that lost a call ended.
+/// Result of a liveness check of a target that lost a call or accepted no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TargetProof {
-    /// It answers, so it lost the connection alone.
-    Runs,
-    /// Nobody listens at its address, or another target does.
+pub(super) enum TargetLiveness {
+    /// The target answers, so only the connection was lost.
+    Running,
+    /// Nothing listens at its address, or another target does.
     Ended,
-    /// It can't be told from one that stands still.
-    None,
+    /// The target gave no answer; it may have ended or be stalled.
+    Unknown,
 }
 
-/// Asks a target whether it is still the one that it was.
-pub(super) async fn prove(duty: &GuardDuty, key: &(ServiceName, TargetName)) -> TargetProof {
+/// Checks whether a target still runs under its address.
+pub(super) async fn check_liveness(
+    duty: &GuardDuty,
+    key: &(ServiceName, TargetName),
+) -> TargetLiveness {
     let address = duty.targets.borrow().get(key).map(|target| target.announcement.address);
-    let Some(address) = address else { return TargetProof::Ended };
-    if let Some(path) = duty.check_path()
-        && let Some(answer) = ask(duty, address, &path).await
+    let Some(address) = address else { return TargetLiveness::Ended };
+    if let Some(path) = duty.health_path()
+        && let Some(reply) = fetch_health(duty, address, &path).await
     {
         let name = duty.names.running_target;
-        let by = name.and_then(|name| headers::text(&answer.headers, name));
-        let same = by.is_none_or(|by| by == key.1.as_str());
-        return if same { TargetProof::Runs } else { TargetProof::Ended };
+        let sender = name.and_then(|name| headers::text(&reply.headers, name));
+        let same = sender.is_none_or(|sender| sender == key.1.as_str());
+        return if same { TargetLiveness::Running } else { TargetLiveness::Ended };
     }
     match TcpStream::connect(address).await {
-        Err(error) if error.kind() == ErrorKind::ConnectionRefused => TargetProof::Ended,
-        Ok(_) if duty.check_path().is_none() => TargetProof::Runs,
-        _ => TargetProof::None,
+        Err(error) if error.kind() == ErrorKind::ConnectionRefused => TargetLiveness::Ended,
+        Ok(_) if duty.health_path().is_none() => TargetLiveness::Running,
+        _ => TargetLiveness::Unknown,
     }
 }
 
-/// A target's answer to a question for its health.
-struct HealthAnswer {
+/// A target's answer to a health check.
+struct HealthReply {
     headers: HeaderMap,
-    /// Whether it says that it is well.
-    good: bool,
+    /// Whether the target reports itself as healthy.
+    healthy: bool,
 }
 
-/// Asks a target for its health; nothing if it can't be reached in time.
-async fn ask(duty: &GuardDuty, address: SocketAddr, path: &str) -> Option<HealthAnswer> {
+/// Sends a health check to a target; returns nothing if it gives no answer in time.
+async fn fetch_health(duty: &GuardDuty, address: SocketAddr, path: &str) -> Option<HealthReply> {
     duty.metrics.health_asks.inc();
     let make_request = || {
         let request = Request::get(path).header(http::header::HOST, address.to_string());
         request.body(Full::new(Bytes::new())).ok()
     };
-    let asked = async {
-        let (response, connection) = duty.pool.send(address, make_request, true).await.ok()?;
+    let exchange = async {
+        let (response, connection) =
+            duty.connections.send(address, make_request, true).await.ok()?;
         let (parts, body) = response.into_parts();
         body.collect().await.ok()?;
         connection.release(&parts.headers);
-        Some(HealthAnswer { good: parts.status.is_success(), headers: parts.headers })
+        Some(HealthReply { healthy: parts.status.is_success(), headers: parts.headers })
     };
-    timeout(ANSWER_WITHIN, asked).await.ok()?
+    timeout(HEALTH_TIMEOUT, exchange).await.ok()?
 }
--- /dev/null
+++ b/src/call/guard/load_reports.rs
@@ -0,0 +1,160 @@
+//! Load reports that a guard sends to the entries that use its targets: each significant
+//! change, within one byte budget for entries of its data centre and one for the others.
+//!
+//! The budgets exist because load shifts faster than all entries can be notified. Reports
+//! within the data centre are cheap and decide most calls; reports to other data centres
+//! are paid traffic and matter only for calls that find no capacity in their own.
+
+use std::cell::RefCell;
+use std::future::poll_fn;
+
+use bytes::Bytes;
+use h2::server::SendResponse;
+use http::Response;
+use tokio::sync::watch;
+
+use super::GuardDuty;
+use super::local_target::LocalTarget;
+use crate::base::clock::MicroTime;
+use crate::base::h2io::{self, HeadReader};
+use crate::base::wire::{LoadReport, WatchHead};
+use crate::decide::report_pace::ReportPace;
+
+/// Length of one report on its stream with its frame, in bytes.
+const REPORT_BYTES: u64 = 50;
+
+/// Reports that one guard sends within its data centre, in bytes per second. Together
+/// with [`REMOTE_BYTES_PER_S`] this is half of the budget for all control traffic.
+const LOCAL_BYTES_PER_S: u32 = 8_000;
+
+/// Reports that one guard sends to other data centres, in bytes per second.
+const REMOTE_BYTES_PER_S: u32 = 2_000;
+
+/// Reports that an entry in another data centre gets for one call: it stays informed
+/// while it keeps calling, and the traffic doesn't grow with entries that have stopped.
+const MAX_REMOTE_REPORTS: u32 = 8;
+
+/// Smallest significant change in slowness, in percent of its value.
+const SLOWNESS_STEP: u16 = 20;
+
+/// Number of occupancy levels from an idle target to one whose slots are all in use.
+const OCCUPANCY_STEPS: u16 = 4;
+
+/// Smallest significant change in a cold target's capacity, in calls.
+const ROOM_STEP: u16 = 8;
+
+/// The entries that watch a guard from its own or from other data centres.
+pub(crate) struct WatcherGroup {
+    changes: watch::Sender<()>,
+    pace: RefCell<ReportPace>,
+}
+
+/// All entries that watch a guard.
+pub(crate) struct GuardWatchers {
+    pub(crate) local: WatcherGroup,
+    pub(crate) remote: WatcherGroup,
+}
+
+impl WatcherGroup {
+    fn open(bytes_per_s: u32) -> Self {
+        let pace = RefCell::new(ReportPace::open(bytes_per_s));
+        Self { changes: watch::Sender::new(()), pace }
+    }
+
+    /// Reserves the bytes for a report to the whole group, if the budget allows one now.
+    fn try_reserve(&self, now: MicroTime) -> bool {
+        let bytes = self.changes.receiver_count() as u64 * REPORT_BYTES;
+        self.pace.borrow_mut().take(now, bytes)
+    }
+}
+
+impl GuardWatchers {
+    pub(crate) fn open() -> Self {
+        Self {
+            local: WatcherGroup::open(LOCAL_BYTES_PER_S),
+            remote: WatcherGroup::open(REMOTE_BYTES_PER_S),
+        }
+    }
+}
+
+impl GuardDuty {
+    /// Sends reports to the watchers if a target's load changed significantly.
+    pub(crate) fn notify_watchers(&self, now: MicroTime) {
+        let GuardWatchers { local, remote } = &self.watchers;
+        self.notify_group(now, local, |target| &mut target.published_local_load);
+        self.notify_group(now, remote, |target| &mut target.published_remote_load);
+    }
+
+    /// Wakes the streams of one group; `published` returns the load last sent to it.
+    fn notify_group(
+        &self,
+        now: MicroTime,
+        group: &WatcherGroup,
+        published: fn(&mut LocalTarget) -> &mut LoadReport,
+    ) {
+        let mut targets = self.targets.borrow_mut();
+        let changed = targets.values_mut().any(|target| {
+            let load = target.queue.peek();
+            is_significant_change(published(target), &load)
+        });
+        if !changed || !group.try_reserve(now) {
+            return;
+        }
+        for target in targets.values_mut() {
+            *published(target) = target.queue.peek();
+        }
+        group.changes.send_replace(());
+    }
+}
+
+/// Tells whether a load differs enough from the published one to be worth a report.
+pub(crate) fn is_significant_change(published: &LoadReport, now: &LoadReport) -> bool {
+    let difference = published.slowness.abs_diff(now.slowness);
+    let slowness_changed =
+        u32::from(difference) * 100 > u32::from(published.slowness) * u32::from(SLOWNESS_STEP);
+    let occupancy_changed = occupancy(published) != occupancy(now) || published.slots != now.slots;
+    slowness_changed || occupancy_changed || room_step(published) != room_step(now)
+}
+
+/// Returns the free capacity of a cold target in units of [`ROOM_STEP`], rounded up so
+/// that none and some differ.
+fn room_step(load: &LoadReport) -> Option<u16> {
+    load.cold.map(|cold| cold.now.div_ceil(ROOM_STEP))
+}
+
+/// Returns the occupancy level of a target; waiting calls can raise it above
+/// [`OCCUPANCY_STEPS`].
+fn occupancy(load: &LoadReport) -> u16 {
+    (load.in_flight + load.queued) * OCCUPANCY_STEPS / load.slots.max(1)
+}
+
+/// Sends load reports of a target to an entry for as long as the entry listens, but at
+/// most [`MAX_REMOTE_REPORTS`] to one in another data centre.
+pub(crate) async fn stream_reports(
+    duty: &GuardDuty,
+    mut reader: HeadReader,
+    mut respond: SendResponse<Bytes>,
+) -> Option<()> {
+    let head: WatchHead = reader.head().await.ok()?;
+    let key = (head.service, head.target);
+    let mut stream = respond.send_response(Response::new(()), false).ok()?;
+    let watchers = &duty.watchers;
+    let (group, reports) = if head.data_centre == duty.data_centre {
+        (&watchers.local, u32::MAX)
+    } else {
+        (&watchers.remote, MAX_REMOTE_REPORTS)
+    };
+    let mut changes = group.changes.subscribe();
+    for remaining in (0..reports).rev() {
+        let report = duty.load(&key);
+        h2io::send_all(&mut stream, h2io::frame(&report).ok()?, remaining == 0).await.ok()?;
+        if remaining == 0 {
+            break;
+        }
+        tokio::select! {
+            changed = changes.changed() => changed.ok()?,
+            _ = poll_fn(|cx| stream.poll_reset(cx)) => return None,
+        }
+    }
+    Some(())
+}
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -1,4 +1,4 @@
-//! A target of this host as its guard knows it.
+//! State that a guard keeps for a target of its host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,109 +17,114 @@
 
 /// A target of this host.
 ///
-/// Invariant: the queue takes calls only while the lease is ready.
+/// Invariant: the queue accepts calls only while the lease is ready.
 pub(crate) struct LocalTarget {
     pub(crate) announcement: TargetAnnouncement,
     pub(crate) lease: TargetLease,
     pub(crate) queue: AdmissionQueue,
-    /// Its newest life that was heard of.
-    pub(crate) life: TargetLife,
-    /// Calls that wait for the table while they hold a slot.
+    /// Latest known incarnation of the target.
+    pub(crate) incarnation: TargetLife,
+    /// Number of calls that hold a slot while they wait for the table to accept a claim.
     pub(crate) claiming: usize,
-    /// Whether the peers were told that it takes calls. An evacuation of the data
-    /// centre is told once for all, not by each target.
-    pub(crate) told_ready: bool,
-    /// The loads that watchers of this data centre, and of others, were told last.
-    pub(crate) told_near: LoadReport,
-    pub(crate) told_far: LoadReport,
-    /// What runs there.
-    pub(crate) roster: RunRoster,
-    /// Held by the one call whose request may end the target.
-    pub(crate) trial: Arc<Mutex<()>>,
-    /// Whether the target is being asked if it ended; set to false when that is known.
-    pub(crate) exam: Option<watch::Receiver<bool>>,
-    /// When a call last came.
-    pub(crate) used: MicroTime,
-    /// When the target last told its slowness, or was asked for it.
-    pub(crate) slowness_heard: MicroTime,
+    /// Readiness as last published to the peers. An evacuation of the data centre isn't
+    /// part of it, since it is published once for all targets.
+    pub(crate) published_ready: bool,
+    /// Load that was last published to watchers in this data centre.
+    pub(crate) published_local_load: LoadReport,
+    /// Load that was last published to watchers in other data centres.
+    pub(crate) published_remote_load: LoadReport,
+    /// Calls that run on the target.
+    pub(crate) running_requests: RunRoster,
+    /// Held by a suspected call while it runs, so that only one does at a time.
+    pub(crate) exclusive_run: Arc<Mutex<()>>,
+    /// Latest crash check; `true` while it is in progress.
+    pub(crate) crash_check: Option<watch::Receiver<bool>>,
+    /// Arrival time of the last call.
+    pub(crate) last_call_at: MicroTime,
+    /// When the target last reported its slowness, or was last asked for it.
+    pub(crate) slowness_updated_at: MicroTime,
 }
 
 impl LocalTarget {
-    /// Takes up a target that was not known, with its queue shut.
+    /// Creates the state of a new target, with its queue closed.
     pub(crate) fn open(
         now: MicroTime,
         announcement: TargetAnnouncement,
-        life: TargetLife,
-        lasts: Duration,
+        incarnation: TargetLife,
+        lease_duration: Duration,
     ) -> Self {
         let mut queue = AdmissionQueue::open(announcement.slots);
         queue.leave(&mut Vec::new());
         Self {
-            lease: TargetLease::open(now, announcement.condition, lasts),
+            lease: TargetLease::open(now, announcement.condition, lease_duration),
             announcement,
             queue,
-            life,
+            incarnation,
             claiming: 0,
-            told_ready: false,
-            told_near: LoadReport::default(),
-            told_far: LoadReport::default(),
-            roster: RunRoster::default(),
-            trial: Arc::default(),
-            exam: None,
-            used: now,
-            slowness_heard: MicroTime(0),
+            published_ready: false,
+            published_local_load: LoadReport::default(),
+            published_remote_load: LoadReport::default(),
+            running_requests: RunRoster::default(),
+            exclusive_run: Arc::default(),
+            crash_check: None,
+            last_call_at: now,
+            slowness_updated_at: MicroTime(0),
         }
     }
 
-    /// Takes an announcement of the target's present life.
+    /// Applies an announcement of the target's current incarnation.
     pub(crate) fn renew(&mut self, now: MicroTime, announcement: TargetAnnouncement) {
         self.lease.renew(now, announcement.condition);
         self.queue.resize(announcement.slots);
         self.announcement = announcement;
     }
 
-    /// Takes the announcement of a later life: what was learned of the earlier one,
-    /// and what runs there, is no longer so. Only what began of late still counts
-    /// against a cold start.
+    /// Applies the announcement of a new incarnation: discards what was known of the
+    /// earlier one, including its running calls.
+    ///
+    /// The cold-start limit is kept, since calls that started recently still count towards
+    /// it, and so is the number of claims in progress.
     pub(crate) fn restart(
         &mut self,
         now: MicroTime,
         announcement: TargetAnnouncement,
-        lasts: Duration,
+        lease_duration: Duration,
         refusals: &mut Vec<AdmissionAction>,
     ) {
         self.queue.leave(refusals);
         let cold = self.queue.cold().clone();
-        let (life, claiming) = (self.life, self.claiming);
-        *self = Self::open(now, announcement, life, lasts);
+        let (incarnation, claiming) = (self.incarnation, self.claiming);
+        *self = Self::open(now, announcement, incarnation, lease_duration);
         self.claiming = claiming;
         *self.queue.cold_mut() = cold;
     }
 
-    /// Takes the end of the target's life; returns the requests that it ended under,
-    /// none if it said that it leaves and may end when it likes.
+    /// Records the end of the target's incarnation and returns the requests that ran on
+    /// it.
+    ///
+    /// Returns none if the target had announced that it leaves: then its end is no crash.
     pub(crate) fn end_runs(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
-        let mut notices = self.roster.end(now);
+        let mut notices = self.running_requests.end(now);
         notices.retain(|_notice| !self.lease.is_leaving());
         notices
     }
 
-    /// Returns how many calls run in the target.
+    /// Returns the number of calls that run on the target.
     pub(crate) fn running(&self) -> usize {
         self.queue.running()
     }
 
-    /// Tells whether the target takes new work.
+    /// Tells whether the target takes new calls.
     pub(crate) const fn is_open(&self) -> bool {
         !self.queue.is_leaving()
     }
 
-    /// Returns what decisions about the target are made on.
+    /// Returns the inputs of the guard's decisions about the target.
     pub(crate) fn dump(&self, now: MicroTime) -> Value {
         json!({
             "announcement": self.announcement,
             "lease": self.lease,
-            "life": self.life,
+            "life": self.incarnation,
             "cold": self.queue.cold(),
             "ready": self.lease.is_ready(now),
             "running": self.queue.running(),
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -1,17 +1,17 @@
-//! The duty beside the targets: admits calls, and alone speaks to the targets.
+//! The guard duty: admits calls to the targets of its host and is their only client.
 
-mod cold;
-mod crashes;
+mod call_admission;
+mod cold_targets;
+mod crash_detection;
 mod datagrams;
-mod guarded_call;
 mod health;
+mod load_reports;
 mod local_target;
 mod quota;
-mod reporting;
-mod served;
+mod served_call;
 mod target_call;
-mod target_life;
-mod target_pool;
+mod target_connections;
+mod target_lifecycle;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -37,11 +37,11 @@
 use crate::base::ids::{CallId, CentreName, DaemonIncarnation, HostName, ServiceName, TargetName};
 use crate::base::metrics::DaemonMetrics;
 use crate::base::wire::{AnswerHead, LoadReport, RefusalReason};
+use crate::call::guard::load_reports::GuardWatchers;
 use crate::call::guard::local_target::LocalTarget;
 use crate::call::guard::quota::GuardQuotas;
-use crate::call::guard::reporting::GuardWatchers;
-use crate::call::guard::served::ServedCall;
-use crate::call::guard::target_pool::TargetPool;
+use crate::call::guard::served_call::ServedCall;
+use crate::call::guard::target_connections::TargetConnections;
 use crate::call::headers::HeaderNames;
 use crate::decide::admission::{AdmissionAction, AdmissionEvent};
 use crate::decide::cold_start::ColdTerms;
@@ -54,44 +54,46 @@
 use crate::rules::config::FleetConfig;
 use crate::store::table::TableWrite;
 
-/// How often leases and deadlines are looked at.
+/// Interval between checks of leases and deadlines.
 const TICK: Duration = Duration::from_millis(20);
 
-/// When to come back to a target that is leaving or gone, in milliseconds.
-pub(crate) const LEAVING_RETRY_MS: u32 = 200;
+/// Retry delay for calls to a target that is leaving or gone, in milliseconds.
+pub(crate) const UNAVAILABLE_RETRY_MS: u32 = 200;
 
-/// Where this duty's events go.
+/// Ring buffers to the duties that the guard sends events to.
 #[derive(Debug)]
 pub(crate) struct GuardRings {
     pub(crate) peers: RingSender<PeersEvent>,
     pub(crate) platform: RingSender<PlatformEvent>,
 }
 
-/// What the duty needs to run.
+/// Settings and sockets that the guard duty starts with.
 #[derive(Debug)]
 pub(crate) struct GuardParts {
     pub(crate) host: HostName,
     pub(crate) data_centre: CentreName,
     pub(crate) incarnation: DaemonIncarnation,
     pub(crate) names: &'static HeaderNames,
-    /// The service and the address of the host's target, where settings tell.
+    /// Service of the host's target, if the settings name one.
     pub(crate) own_service: Option<ServiceName>,
+    /// Address of the host's target, if the settings name one.
     pub(crate) own_target: Option<SocketAddr>,
-    /// Time a target's heartbeat stays valid without a further one.
+    /// Time for which a target's heartbeat stays valid.
     pub(crate) target_lease: Duration,
-    /// What cold targets are given beyond their rate.
+    /// Calls that cold targets may get in excess of their configured rate.
     pub(crate) cold_terms: ColdTerms,
-    /// How exactly quotas are kept.
+    /// Tolerances with which quotas are enforced.
     pub(crate) quota_terms: QuotaTerms,
-    /// Longest body of a call, in bytes.
+    /// Maximum length of a call's body, in bytes.
     pub(crate) max_body: usize,
     pub(crate) address: SocketAddr,
     pub(crate) listener: std::net::TcpListener,
     pub(crate) socket: std::net::UdpSocket,
 }
 
-/// Word to a waiting call: it may start, or why not and when to come back.
-pub(crate) type StartSignal = Result<(), (RefusalReason, u32)>;
+/// Outcome of a call's wait for a slot: `Ok` if it may start, else the reason and the
+/// retry delay in milliseconds.
+pub(crate) type AdmissionDecision = Result<(), (RefusalReason, u32)>;
 
 pub(crate) struct GuardDuty {
     pub(crate) clock: ProcessClock,
@@ -100,30 +102,30 @@
     pub(crate) incarnation: DaemonIncarnation,
     pub(crate) address: SocketAddr,
     pub(crate) targets: RefCell<HashMap<(ServiceName, TargetName), LocalTarget>>,
-    /// Targets that ended, the newest last, to know their late heartbeats.
+    /// Targets that ended, the most recent last; their late heartbeats are ignored.
     pub(crate) ended: RefCell<VecDeque<(TargetName, TargetLife)>>,
     pub(crate) ledger: RefCell<CallLedger>,
-    pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<StartSignal>>>,
-    /// Requests that are suspected of ending targets.
+    pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<AdmissionDecision>>>,
+    /// Requests suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashBook>,
-    /// Streams of calls that have not ended.
-    open: watch::Sender<usize>,
+    /// Number of open streams that carry calls or revocations.
+    open_streams: watch::Sender<usize>,
     pub(crate) stopping: watch::Sender<bool>,
-    pub(crate) pool: Rc<TargetPool>,
+    pub(crate) connections: Rc<TargetConnections>,
     pub(crate) names: &'static HeaderNames,
     own_service: Option<ServiceName>,
-    /// The configuration in force, once there is one.
+    /// Active configuration; none until the first one arrives.
     pub(crate) config: RefCell<Option<Arc<FleetConfig>>>,
     pub(crate) target_lease: Cell<Duration>,
     pub(crate) cold_terms: Cell<ColdTerms>,
-    /// The parts of accounts' quotas that are held here.
+    /// Parts of account quotas that this daemon holds.
     quotas: GuardQuotas,
-    /// Whether the host's data centre takes no calls now.
+    /// Whether the host's data centre is evacuated and takes no calls.
     pub(crate) evacuated: Cell<bool>,
     pub(crate) max_body: usize,
     pub(crate) metrics: Arc<DaemonMetrics>,
     pub(crate) rings: GuardRings,
-    /// Who is told each change of a target's load that matters.
+    /// Entries that are notified of significant changes in the targets' load.
     pub(crate) watchers: GuardWatchers,
     pub(crate) logger: Logger,
 }
@@ -151,10 +153,10 @@
         ledger: RefCell::default(),
         waiters: RefCell::default(),
         suspects: RefCell::default(),
-        open: watch::Sender::new(0),
+        open_streams: watch::Sender::new(0),
         stopping: watch::Sender::new(false),
         watchers: GuardWatchers::open(),
-        pool: TargetPool::open(clock),
+        connections: TargetConnections::open(clock),
         names: parts.names,
         own_service: parts.own_service,
         config: RefCell::default(),
@@ -172,7 +174,7 @@
     spawn_local(Rc::clone(&duty).answer_datagrams(socket));
     spawn_local(Rc::clone(&duty).tick());
     if let (Some(service), Some(address)) = (duty.own_service.clone(), parts.own_target) {
-        spawn_local(health::find_target(Rc::clone(&duty), service, address));
+        spawn_local(health::discover_target(Rc::clone(&duty), service, address));
     }
     loop {
         duty.handle(inbox.next().await);
@@ -183,29 +185,29 @@
     fn handle(self: &Rc<Self>, event: GuardEvent) {
         match event {
             GuardEvent::Announce(announcement) => {
-                self.announce(announcement, None, None);
+                self.handle_announcement(announcement, None, None);
             }
             GuardEvent::Config(config) => {
                 *self.config.borrow_mut() = Some(config);
-                self.bound_cold_targets();
-                self.choose_quotas();
+                self.update_cold_bounds();
+                self.update_held_quotas();
             }
-            GuardEvent::Fleet(view) => self.adopt_view(view),
-            GuardEvent::Isolated(alone) => self.note_alone(alone),
+            GuardEvent::Fleet(view) => self.set_fleet_view(view),
+            GuardEvent::Isolated(isolated) => self.set_isolated(isolated),
             GuardEvent::Settings { lease, cold, quota } => {
                 self.target_lease.set(lease);
                 self.cold_terms.set(cold);
                 self.quotas.terms.set(quota);
-                self.choose_quotas();
+                self.update_held_quotas();
                 let mut targets = self.targets.borrow_mut();
                 targets.values_mut().for_each(|target| target.lease.extend_to(lease));
                 drop(targets);
-                self.bound_cold_targets();
+                self.update_cold_bounds();
             }
-            GuardEvent::Evacuated(evacuated) => self.evacuate(evacuated),
-            GuardEvent::Suspects(notices) => self.learn_suspects(&notices),
+            GuardEvent::Evacuated(evacuated) => self.set_evacuated(evacuated),
+            GuardEvent::Suspects(notices) => self.record_suspects(&notices),
             GuardEvent::Report { report, reply } => {
-                self.take_report(report);
+                self.handle_report(report);
                 _ = reply.send(());
             }
             GuardEvent::Drain { target, drained, reply } => {
@@ -218,13 +220,13 @@
         }
     }
 
-    /// Returns the path at which the host's target tells its health, once known.
-    pub(crate) fn check_path(&self) -> Option<String> {
+    /// Returns the health check path of the host's target, if the configuration names one.
+    pub(crate) fn health_path(&self) -> Option<String> {
         let config = self.config.borrow();
         config.as_ref()?.check_path(self.own_service.as_ref()?).map(str::to_owned)
     }
 
-    /// Takes one event to a target's admission queue.
+    /// Applies an event to a target's admission queue and executes the resulting actions.
     pub(crate) fn step_queue(&self, key: &(ServiceName, TargetName), event: AdmissionEvent) {
         let mut actions = Vec::new();
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
@@ -232,15 +234,16 @@
             target.queue.step(self.clock.now(), event, &mut actions);
             let limit = target.queue.limit();
             if limit != before {
-                info!(self.logger, "limit"; "target" => %key.1, "limit" => limit,
-                    "before" => before, "running" => target.queue.running(),
+                info!(self.logger, "concurrency limit changed"; "target" => %key.1,
+                    "limit" => limit, "before" => before,
+                    "running" => target.queue.running(),
                     "waiting" => target.queue.waiting());
             }
         }
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
-    pub(crate) fn carry_out(&self, actions: Vec<AdmissionAction>) {
+    pub(crate) fn execute_actions(&self, actions: Vec<AdmissionAction>) {
         for action in actions {
             let (call, signal) = match action {
                 AdmissionAction::Start(call) => (call, Ok(())),
@@ -264,10 +267,10 @@
             for target in self.targets.borrow_mut().values_mut() {
                 target.queue.step(now, AdmissionEvent::Tick, &mut actions);
             }
-            self.carry_out(actions);
-            self.check_leases();
-            self.tell_watchers(now);
-            health::ask_stale(&self, now);
+            self.execute_actions(actions);
+            self.apply_leases();
+            self.notify_watchers(now);
+            health::poll_stale_targets(&self, now);
         }
     }
 
@@ -283,7 +286,7 @@
         let handshake = timeout(SLOW_SENDER, h2io::server().handshake(socket)).await;
         let Ok(Ok(mut connection)) = handshake else { return };
         let mut stopping = self.stopping.subscribe();
-        let mut told = false;
+        let mut shutdown_sent = false;
         loop {
             tokio::select! {
                 accepted = connection.accept() => match accepted {
@@ -292,8 +295,8 @@
                     }
                     _ => return,
                 },
-                _ = stopping.wait_for(|stopping| *stopping), if !told => {
-                    told = true;
+                _ = stopping.wait_for(|stopping| *stopping), if !shutdown_sent => {
+                    shutdown_sent = true;
                     connection.graceful_shutdown();
                 }
             }
@@ -308,33 +311,33 @@
         let (parts, body) = request.into_parts();
         let reader = HeadReader::open(body);
         if parts.uri.path() == "/watch" {
-            // A watch is no call: nobody waits for its end.
-            _ = reporting::tell_reports(&self, reader, respond).await;
+            // A watch is not a call: a planned stop doesn't wait for its end.
+            _ = load_reports::stream_reports(&self, reader, respond).await;
             return;
         }
-        self.open.send_modify(|open| *open += 1);
+        self.open_streams.send_modify(|streams| *streams += 1);
         if parts.uri.path() == "/revoke" {
             self.serve_revoke(reader, respond).await;
         } else {
             self.serve_call(reader, respond).await;
         }
-        self.open.send_modify(|open| *open -= 1);
+        self.open_streams.send_modify(|streams| *streams -= 1);
     }
 
-    pub(crate) fn write(&self, write: TableWrite) {
+    pub(crate) fn write_row(&self, write: TableWrite) {
         if self.rings.platform.push(PlatformEvent::Write(write)).is_err() {
             self.metrics.shed.with_label_values(&["platform"]).inc();
         }
     }
 
-    /// Notes how long work takes at a target now, in percent of the usual.
-    pub(crate) fn note_slowness(&self, key: &(ServiceName, TargetName), percent: u16) {
+    /// Updates the time that work takes at a target now, in percent of the usual time.
+    pub(crate) fn update_slowness(&self, key: &(ServiceName, TargetName), percent: u16) {
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
             let now = self.clock.now();
             target.queue.note_slowness(now, percent);
-            target.slowness_heard = now;
+            target.slowness_updated_at = now;
         }
-        // What waited for the host to be faster may start.
+        // Calls held back because the host was slow may be able to start now.
         self.step_queue(key, AdmissionEvent::Tick);
     }
 
@@ -352,21 +355,21 @@
     ) -> AnswerHead {
         self.metrics.refusals.with_label_values(&[reason.label()]).inc();
         let load = self.load(&call.key);
-        info!(self.logger, "refused"; "id" => &*call.id, "target" => %call.key.1,
+        info!(self.logger, "call refused"; "id" => &*call.id, "target" => %call.key.1,
             "reason" => reason.label(), "retry_after_ms" => retry_after_ms,
             "running" => load.in_flight, "waiting" => load.queued, "limit" => load.slots,
             "slowness" => load.slowness);
-        let suspect = self.standing(call.digest);
+        let suspect = self.suspect_record(call.digest);
         AnswerHead::Refused { call: call.call, reason, retry_after_ms, load, suspect }
     }
 
-    /// Refuses new work at once and waits for the old to end.
+    /// Refuses new calls from now on and reports when all open streams have ended.
     async fn stop(self: Rc<Self>, done: oneshot::Sender<()>) {
         self.stopping.send_replace(true);
-        self.check_leases();
-        let mut open = self.open.subscribe();
-        // Fails only when the duty itself is gone.
-        drop(open.wait_for(|open| *open == 0).await);
+        self.apply_leases();
+        let mut open_streams = self.open_streams.subscribe();
+        // Fails only if the duty itself has been dropped.
+        drop(open_streams.wait_for(|streams| *streams == 0).await);
         _ = done.send(());
     }
 
@@ -379,7 +382,7 @@
             "blamed": self.suspects.borrow().blamed(),
             "quotas": self.quotas.dump(),
             "calls_remembered": self.ledger.borrow().len(),
-            "streams": *self.open.borrow(),
+            "streams": *self.open_streams.borrow(),
             "stopping": *self.stopping.borrow(),
         })
     }
--- a/src/call/guard/quota.rs
+++ b/src/call/guard/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts that this daemon holds a part of.
+//! The parts of client accounts' quotas that this daemon holds.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use crate::base::wire::{QuotaReply, QuotaRequest};
 use crate::decide::quota::{HolderChange, QuotaHolder, QuotaTerms};
 
-/// What a guard holds of the quotas, and what that follows from.
+/// Parts of account quotas that a guard holds, and the inputs that determine them.
 #[derive(Debug, Default)]
 pub(super) struct GuardQuotas {
     pub(super) terms: Cell<QuotaTerms>,
     view: RefCell<Arc<FleetView>>,
-    /// Whether no other daemon is heard of.
-    alone: Cell<bool>,
+    /// Whether the daemon has no contact with any other.
+    isolated: Cell<bool>,
     holder: RefCell<QuotaHolder>,
 }
 
 impl GuardQuotas {
-    /// Answers an entry that asks for a part of an account's quota.
+    /// Answers an entry's request for a part of an account's quota.
     pub(super) fn answer(&self, now: MicroTime, request: &QuotaRequest) -> QuotaReply {
         let QuotaRequest { account, want, settled, .. } = request;
         let grant = self.holder.borrow_mut().take(now, account, *want, *settled);
@@ -41,23 +41,22 @@
 }
 
 impl GuardDuty {
-    pub(super) fn adopt_view(&self, view: Arc<FleetView>) {
+    pub(super) fn set_fleet_view(&self, view: Arc<FleetView>) {
         *self.quotas.view.borrow_mut() = view;
-        self.choose_quotas();
+        self.update_held_quotas();
     }
 
-    pub(super) fn note_alone(&self, alone: bool) {
-        self.quotas.alone.set(alone);
-        self.choose_quotas();
+    pub(super) fn set_isolated(&self, isolated: bool) {
+        self.quotas.isolated.set(isolated);
+        self.update_held_quotas();
     }
 
-    /// Finds out which quotas this daemon holds, as the fleet and the configuration are
-    /// now.
-    pub(super) fn choose_quotas(&self) {
+    /// Updates which quotas this daemon holds, from the current fleet and configuration.
+    pub(super) fn update_held_quotas(&self) {
         let config = self.config.borrow();
         let Some(config) = config.as_ref() else { return };
         let view = self.quotas.view.borrow();
-        let up: Vec<&HostName> = if self.quotas.alone.get() {
+        let serving: Vec<&HostName> = if self.quotas.isolated.get() {
             vec![&self.host]
         } else {
             view.serving().map(|member| &member.host).collect()
@@ -65,14 +64,16 @@
         let accounts = config.accounts.iter();
         let quotas = accounts.filter_map(|account| Some((&account.name, account.quota?)));
         let (now, terms) = (self.clock.now(), self.quotas.terms.get());
-        let changes = self.quotas.holder.borrow_mut().adopt(now, &self.host, &up, quotas, terms);
+        let changes =
+            self.quotas.holder.borrow_mut().adopt(now, &self.host, &serving, quotas, terms);
         for change in changes {
-            let (account, held) = match &change {
+            let (account, label) = match &change {
                 HolderChange::Took(account) => (account, "took"),
                 HolderChange::Adopted(account) => (account, "adopted"),
                 HolderChange::GaveUp(account) => (account, "gave up"),
             };
-            info!(self.logger, "quota"; "account" => %account, "held" => held, "up" => up.len());
+            info!(self.logger, "quota holder changed"; "account" => %account, "held" => label,
+                "up" => serving.len());
         }
     }
 }
--- a/src/call/guard/served/answer_pump.rs
+++ b/src/call/guard/served_call/answer_relay.rs
@@ -1,4 +1,4 @@
-//! The way of a target's answer from its guard to the entry.
+//! Relays a target's answer from its guard to the entry.
 
 use bytes::Bytes;
 use h2::server::SendResponse;
@@ -12,31 +12,31 @@
 use crate::base::consts::{BODY_STALL, MAX_RECORDED_BODY};
 use crate::base::h2io;
 use crate::base::wire::{AnswerHead, CallHead, RefusalReason};
-use crate::call::guard::LEAVING_RETRY_MS;
-use crate::call::guard::target_call::{self, AnswerMeaning, TargetAnswer};
-use crate::call::guard::target_pool::TargetFailure;
+use crate::call::guard::UNAVAILABLE_RETRY_MS;
+use crate::call::guard::target_call::{self, AnswerClass, TargetAnswer};
+use crate::call::guard::target_connections::TargetFailure;
 use crate::call::headers;
 
-/// Moves a target's answer to the entry, and keeps what has to be recorded.
-pub(super) struct AnswerPump<'a> {
+/// Relays a target's answer to the entry and collects what has to be recorded of it.
+pub(super) struct AnswerRelay<'a> {
     pub(super) call: &'a ServedCall,
     pub(super) head: &'a CallHead,
-    /// Taken when the answer's head goes out.
+    /// Handle for the response; taken when the answer's head is sent.
     pub(super) respond: Option<SendResponse<Bytes>>,
-    /// Nothing once the entry has gone.
+    /// Stream for the answer's body; none before the head and after the entry has closed it.
     pub(super) stream: Option<SendStream<Bytes>>,
 }
 
-impl AnswerPump<'_> {
-    /// Tells the entry that no answer will come.
-    pub(super) async fn lose(&mut self) {
+impl AnswerRelay<'_> {
+    /// Reports to the entry that the call is lost and no answer will follow.
+    pub(super) async fn report_lost(&mut self) {
         let load = self.call.duty.load(&self.call.key);
-        let suspect = self.call.duty.standing(self.call.digest);
+        let suspect = self.call.duty.suspect_record(self.call.digest);
         self.send_head(&AnswerHead::Lost { call: self.call.call, load, suspect }, true).await;
         self.stream = None;
     }
 
-    /// Sends the answer; returns what became of the call.
+    /// Relays the answer, or reports its absence; returns the call's status.
     pub(super) async fn forward(
         &mut self,
         answered: Result<TargetAnswer, TargetFailure>,
@@ -45,50 +45,53 @@
             Ok(answer) => answer,
             Err(TargetFailure::NotSent) => return self.refuse(RefusalReason::Unreachable).await,
             Err(TargetFailure::Broken) => {
-                // The entry must not try again before it knows whether a target ended.
-                self.call.duty.examine(&self.call.key).await;
-                self.lose().await;
+                // The entry must not retry before it knows whether the target ended.
+                self.call.duty.wait_for_crash_check(&self.call.key).await;
+                self.report_lost().await;
                 return CallStatus::Unknown;
             }
         };
         let names = self.call.duty.names;
-        let reason = match target_call::meaning(self.head, answer.status, &answer.headers, names) {
-            AnswerMeaning::Answer => return self.forward_answer(answer).await,
-            AnswerMeaning::NotRun => RefusalReason::Declined,
-            AnswerMeaning::OtherTarget => {
-                // Its address is another target's now: it is gone for good.
-                self.call.duty.end_target(&self.call.key.1, None);
-                RefusalReason::Absent
-            }
-            AnswerMeaning::Foreign => {
-                // What follows on this connection is out of step: it is closed.
-                self.lose().await;
-                return CallStatus::Unknown;
-            }
-        };
+        let reason =
+            match target_call::classify_answer(self.head, answer.status, &answer.headers, names) {
+                AnswerClass::Answer => return self.forward_answer(answer).await,
+                AnswerClass::NotRun => RefusalReason::Declined,
+                AnswerClass::OtherTarget => {
+                    // Another target uses the address now, so this one has ended.
+                    self.call.duty.end_target(&self.call.key.1, None);
+                    RefusalReason::Absent
+                }
+                AnswerClass::Mismatched => {
+                    // The answers on this connection no longer match the calls: dropping it
+                    // closes it.
+                    self.report_lost().await;
+                    return CallStatus::Unknown;
+                }
+            };
         if answer.rest.is_none() {
             answer.connection.release(&answer.headers);
         }
         self.refuse(reason).await
     }
 
-    /// Tells the entry that the call did not run and never will.
+    /// Reports to the entry that the call did not run and never will.
     async fn refuse(&mut self, reason: RefusalReason) -> CallStatus {
-        self.call.dispatched.set(None);
-        let refusal = self.call.duty.refusal(self.call, reason, LEAVING_RETRY_MS);
+        self.call.dispatched_at.set(None);
+        let refusal = self.call.duty.refusal(self.call, reason, UNAVAILABLE_RETRY_MS);
         self.send_head(&refusal, true).await;
         CallStatus::NotRun
     }
 
+    /// Relays an answer that belongs to the call.
     async fn forward_answer(&mut self, answer: TargetAnswer) -> CallStatus {
         self.call.failed.set(answer.status.is_server_error());
         let mut recorded = RecordedAnswer {
             status: answer.status.as_u16(),
             content_type: content_type(&answer.headers),
-            // Only the answer to a keyed call is ever asked for again.
+            // Only answers to calls with an idempotency key are ever requested again.
             body: self.head.claim.as_ref().map(|_claim| Vec::new()),
         };
-        keep(&mut recorded, &answer.start);
+        append_recorded(&mut recorded, &answer.start);
         let length = match &answer.rest {
             None => Some(answer.start.len() as u64),
             Some(_more) => answer_length(self.head, answer.status, &answer.headers),
@@ -121,7 +124,7 @@
                 return CallStatus::Unknown;
             };
             let Ok(data) = frame.into_data() else { continue };
-            keep(&mut recorded, &data);
+            append_recorded(&mut recorded, &data);
             if !self.send_data(data).await && self.head.repeatable {
                 return CallStatus::Unknown;
             }
@@ -133,7 +136,7 @@
         CallStatus::Answered(recorded)
     }
 
-    /// Sends an answer that is at hand, in one piece where the window allows.
+    /// Sends an answer that was read whole, in one frame if the flow-control window allows.
     async fn send_whole(&mut self, answer: &AnswerHead, body: Bytes) {
         let Some(mut respond) = self.respond.take() else { return };
         let Ok(bytes) = h2io::frame_with(answer, &body) else {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Sends a part of the body; `false` once the entry has gone.
+    /// Sends a part of the body; returns `false` once the entry no longer receives it.
     async fn send_data(&mut self, data: Bytes) -> bool {
         let Some(stream) = &mut self.stream else { return false };
         let sent = timeout(BODY_STALL, h2io::send_all(stream, data, false)).await;
@@ -170,7 +173,7 @@
         sent
     }
 
-    /// Breaks the stream, so that nobody takes a cut body for a whole one.
+    /// Resets the stream, so that a truncated body isn't taken for a complete one.
     fn reset(&mut self) {
         if let Some(mut stream) = self.stream.take() {
             stream.send_reset(Reason::INTERNAL_ERROR);
@@ -178,7 +181,7 @@
     }
 }
 
-/// Returns the length the body must have, where it is known.
+/// Returns the length that the body must have in bytes, if it is known.
 fn answer_length(head: &CallHead, status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let empty = head.method == "HEAD"
         || status == StatusCode::NO_CONTENT
@@ -194,8 +197,9 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// Keeps a part of a body for the record, unless it grows over the limit.
-fn keep(recorded: &mut RecordedAnswer, data: &[u8]) {
+/// Adds a part of the body to the record; drops the recorded body once it is over
+/// [`MAX_RECORDED_BODY`].
+fn append_recorded(recorded: &mut RecordedAnswer, data: &[u8]) {
     let fits = |body: &Vec<u8>| body.len() + data.len() <= MAX_RECORDED_BODY;
     match &mut recorded.body {
         Some(body) if fits(body) => body.extend_from_slice(data),
--- /dev/null
+++ b/src/call/guard/served_call/mod.rs
@@ -0,0 +1,256 @@
+//! A call at its guard, from its arrival to the record of its outcome.
+
+mod answer_relay;
+
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use h2::server::SendResponse;
+use slog::info;
+use tokio::sync::OwnedMutexGuard;
+use tokio::time::{sleep_until, timeout};
+
+use self::answer_relay::AnswerRelay;
+use crate::base::call_status::{CallStatus, ClaimRow, ClaimState};
+use crate::base::clock::MicroTime;
+use crate::base::consts::MAX_DEADLINE_MS;
+use crate::base::digest::RequestDigest;
+use crate::base::ids::{CallId, ServiceName, TargetName};
+use crate::base::wire::CallHead;
+use crate::call::guard::GuardDuty;
+use crate::call::guard::crash_detection::RunOutcome;
+use crate::call::guard::target_call::{self, TargetAnswer};
+use crate::call::guard::target_connections::TargetFailure;
+use crate::call::headers;
+use crate::decide::admission::AdmissionEvent;
+use crate::store::table::TableWrite;
+
+/// Time for which the answer to a non-repeatable call is awaited after its deadline.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Share of a target's slots that may wait for the table, as a divisor: one in three.
+const CLAIM_SLOTS_DIVISOR: usize = 3;
+
+/// A claim that the table accepted.
+pub(crate) struct HeldClaim {
+    pub(crate) key: String,
+    pub(crate) version: u64,
+    pub(crate) row: ClaimRow,
+}
+
+/// Permit to hold a slot while waiting for the table; released when dropped.
+pub(crate) struct ClaimPermit<'a>(&'a ServedCall);
+
+impl<'a> ClaimPermit<'a> {
+    /// Returns a permit, or nothing if too many of the target's slots wait for the table.
+    pub(crate) fn acquire(call: &'a ServedCall) -> Option<Self> {
+        let mut targets = call.duty.targets.borrow_mut();
+        let target = targets.get_mut(&call.key)?;
+        let permits = usize::from(target.announcement.slots).div_ceil(CLAIM_SLOTS_DIVISOR).max(2);
+        (target.claiming < permits).then(|| {
+            target.claiming += 1;
+            Self(call)
+        })
+    }
+}
+
+impl Drop for ClaimPermit<'_> {
+    fn drop(&mut self) {
+        if let Some(target) = self.0.duty.targets.borrow_mut().get_mut(&self.0.key) {
+            // Saturates: a target that restarted holds no claims of its earlier incarnation.
+            target.claiming = target.claiming.saturating_sub(1);
+        }
+    }
+}
+
+/// A call at this guard; dropping it removes it from the admission queue.
+pub(crate) struct ServedCall {
+    duty: Rc<GuardDuty>,
+    pub(crate) call: CallId,
+    pub(crate) digest: RequestDigest,
+    /// The caller's request id; empty if the caller gave none.
+    pub(crate) id: String,
+    pub(crate) key: (ServiceName, TargetName),
+    arrived_at: MicroTime,
+    pub(crate) deadline: MicroTime,
+    /// Time at which the call is refused if it has no slot by then.
+    pub(crate) queue_deadline: MicroTime,
+    /// Whether the call was put in the admission queue; late copies of a call never are.
+    pub(crate) enqueued: Cell<bool>,
+    /// Held while a suspected call has its target's exclusive run.
+    pub(crate) exclusive_lock: RefCell<Option<OwnedMutexGuard<()>>>,
+    /// Time at which the call got its slot.
+    pub(crate) started_at: Cell<Option<MicroTime>>,
+    /// Time at which the call was sent to the target.
+    dispatched_at: Cell<Option<MicroTime>>,
+    /// Whether the call failed at the target.
+    failed: Cell<bool>,
+}
+
+impl Drop for ServedCall {
+    fn drop(&mut self) {
+        if !self.enqueued.get() {
+            return;
+        }
+        let now = self.duty.clock.now();
+        let event = match self.started_at.get() {
+            Some(_) => AdmissionEvent::Finish {
+                call: self.call,
+                took: self.dispatched_at.get().map(|since| now.since(since)),
+                failed: self.failed.get(),
+            },
+            None => AdmissionEvent::Cancel(self.call),
+        };
+        self.duty.step_queue(&self.key, event);
+    }
+}
+
+impl ServedCall {
+    pub(crate) fn open(duty: &Rc<GuardDuty>, head: &CallHead) -> Self {
+        let id = duty.names.request_id.and_then(|name| headers::find(&head.headers, name));
+        let now = duty.clock.now();
+        let remaining = u64::from(head.remaining_ms.min(MAX_DEADLINE_MS));
+        // The time until the deadline counts from when the entry sent the call, not from
+        // its arrival.
+        let sent_at = head.sent.map_or(now, |sent| sent.min(now));
+        Self {
+            duty: Rc::clone(duty),
+            call: head.call,
+            digest: head.digest,
+            id: id.unwrap_or_default().to_owned(),
+            key: (head.service.clone(), head.target.clone()),
+            arrived_at: now,
+            deadline: sent_at + MicroTime::from_millis(remaining),
+            queue_deadline: sent_at + MicroTime::from_millis(u64::from(head.patience_ms)),
+            enqueued: Cell::default(),
+            exclusive_lock: RefCell::default(),
+            started_at: Cell::default(),
+            dispatched_at: Cell::default(),
+            failed: Cell::default(),
+        }
+    }
+
+    /// Returns the work that the target did for the call, in microseconds at its usual
+    /// speed.
+    fn work_us(&self) -> u32 {
+        let now = self.duty.clock.now();
+        let targets = self.duty.targets.borrow();
+        let slowness = targets.get(&self.key).map_or(1.0, |own| own.queue.slowness_of(self.call));
+        let ran = self.dispatched_at.get().map_or(MicroTime(0), |since| now.since(since));
+        (ran.0 as f64 / slowness) as u32
+    }
+
+    /// Sends the call to the target, relays its answer, and records the outcome.
+    pub(crate) async fn run(
+        &self,
+        head: &CallHead,
+        body: Bytes,
+        claim: Option<HeldClaim>,
+        mut respond: SendResponse<Bytes>,
+    ) {
+        let duty = &self.duty;
+        duty.metrics.dispatched.inc();
+        self.dispatched_at.set(Some(duty.clock.now()));
+        info!(duty.logger, "call sent to target"; "id" => &*self.id, "target" => %self.key.1,
+            "waited_us" => duty.clock.now().since(self.arrived_at).0,
+            "left_us" => self.deadline.since(duty.clock.now()).0);
+        let remaining = self.deadline.since(duty.clock.now()).duration();
+        let deadline = tokio::time::Instant::now() + remaining;
+        let mut exchange = Box::pin(self.call_target(head, body));
+        let answered = tokio::select! {
+            answered = &mut exchange => Some(answered),
+            _ = poll_fn(|cx| respond.poll_reset(cx)), if head.repeatable => None,
+            () = sleep_until(deadline) => None,
+        };
+        let unanswered = answered.is_none();
+        let mut relay = AnswerRelay { call: self, head, respond: Some(respond), stream: None };
+        let status = if let Some(answered) = answered {
+            relay.forward(answered).await
+        } else {
+            relay.report_lost().await;
+            if head.repeatable {
+                CallStatus::Unknown
+            } else {
+                let late = timeout(LATE_ANSWER_TIMEOUT, exchange).await;
+                relay.forward(late.unwrap_or(Err(TargetFailure::Broken))).await
+            }
+        };
+        let cancelled = unanswered && duty.clock.now() < self.deadline;
+        if cancelled {
+            // The caller cancelled the call, which says nothing about the target.
+            self.dispatched_at.set(None);
+        } else if status == CallStatus::Unknown {
+            self.failed.set(true);
+        }
+        info!(duty.logger, "call ended"; "id" => &*self.id, "digest" => %self.digest,
+            "target" => %self.key.1, "status" => status.label(), "failed" => self.failed.get(),
+            "cancelled" => cancelled, "took_us" => duty.clock.now().since(self.arrived_at).0);
+        self.duty.end_run(self, Self::run_outcome(&status));
+        self.record(claim, &status);
+        let mut ledger = duty.ledger.borrow_mut();
+        if head.repeatable {
+            ledger.release(duty.clock.now(), self.call, status, self.deadline);
+        } else {
+            ledger.finish(duty.clock.now(), self.call, status);
+        }
+    }
+
+    /// Returns the run's outcome for suspicion of its request.
+    ///
+    /// A server error doesn't clear the request: the target may have aborted the call at
+    /// its deadline, before the call could crash it.
+    const fn run_outcome(status: &CallStatus) -> RunOutcome {
+        match status {
+            CallStatus::Answered(answer) if answer.status < 500 => RunOutcome::Answered,
+            CallStatus::NotRun => RunOutcome::NotRun,
+            _ => RunOutcome::Unanswered,
+        }
+    }
+
+    /// Sends the call to the target and reads the start of its answer.
+    async fn call_target(
+        &self,
+        head: &CallHead,
+        body: Bytes,
+    ) -> Result<TargetAnswer, TargetFailure> {
+        let duty = &self.duty;
+        let address = {
+            let targets = duty.targets.borrow();
+            targets.get(&self.key).map(|target| target.announcement.address)
+        };
+        let address = address.ok_or(TargetFailure::NotSent)?;
+        let make_request = || {
+            let remaining_ms = self.deadline.since(duty.clock.now()).duration().as_millis() as u32;
+            target_call::make_request(head, body.clone(), address, remaining_ms, duty.names)
+        };
+        let sent = duty.connections.send(address, make_request, head.repeatable).await;
+        if matches!(sent, Err(TargetFailure::NotSent)) {
+            duty.assume_cold(&self.key);
+            duty.check_for_crash(&self.key);
+        }
+        let (response, connection) = sent?;
+        if let Some(percent) = target_call::parse_slowness(response.headers(), duty.names) {
+            duty.update_slowness(&self.key, percent);
+        }
+        target_call::read_start(response, connection).await
+    }
+
+    /// Records the outcome of a call with an idempotency key for its repeats; a call that
+    /// did not run releases its key.
+    fn record(&self, claim: Option<HeldClaim>, status: &CallStatus) {
+        let Some(HeldClaim { key, version, mut row }) = claim else { return };
+        row.state = match status {
+            CallStatus::Answered(answer) => ClaimState::Answered(answer.clone()),
+            CallStatus::NotRun => {
+                self.duty.write_row(TableWrite { key, expect: Some(version), value: None });
+                return;
+            }
+            CallStatus::Running | CallStatus::Unknown => ClaimState::Unknown,
+        };
+        let value = serde_json::to_string(&row).ok();
+        self.duty.write_row(TableWrite { key, expect: Some(version), value });
+    }
+}
--- a/src/call/guard/target_call.rs
+++ b/src/call/guard/target_call.rs
@@ -1,4 +1,4 @@
-//! One call to a target: the request it gets, and whether its answer is one.
+//! One call to a target: makes the HTTP request and classifies the answer.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,51 @@
 
 use crate::base::consts::MAX_WHOLE_ANSWER;
 use crate::base::wire::CallHead;
-use crate::call::guard::target_pool::{BusyConnection, TargetFailure};
+use crate::call::guard::target_connections::{BusyConnection, TargetFailure};
 use crate::call::headers::{self, HeaderNames};
 
-/// Parts of a load header: running, waiting, slots, slowness in percent.
-const LOAD_PARTS: usize = 4;
+/// Number of values in a load header: running calls, waiting calls, slots, slowness in
+/// percent.
+const LOAD_VALUES: usize = 4;
 
-/// An answer of a target, read as far as its start was short.
+/// An answer of a target whose body has been read at least in part.
 pub(crate) struct TargetAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// What was read so far; all of it if `rest` is nothing.
+    /// Part of the body that has been read; all of it if `rest` is none.
     pub(crate) start: Bytes,
+    /// Remainder of the body, if it was too long to be read at once.
     pub(crate) rest: Option<Incoming>,
     pub(crate) connection: BusyConnection,
 }
 
-/// What a target's answer means for the call.
+/// What a target's answer implies for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerMeaning {
-    /// The target ran the call and answers it.
+pub(crate) enum AnswerClass {
+    /// The target ran the call, and this is its answer.
     Answer,
-    /// The target did not run the call, as it says itself.
+    /// The target reports that it did not run the call.
     NotRun,
-    /// Another target has this address; it did not run the call.
+    /// Another target listens at the address; it did not run the call.
     OtherTarget,
-    /// Not an answer to this call.
-    Foreign,
+    /// The answer doesn't belong to this call.
+    Mismatched,
 }
 
-/// Makes the request that a target gets.
+/// Makes the request for a target; `remaining_ms` is the time left until the deadline.
+///
+/// Returns nothing if the method, the path or a header is invalid.
 pub(crate) fn make_request(
     head: &CallHead,
     body: Bytes,
     address: SocketAddr,
-    left_ms: u32,
+    remaining_ms: u32,
     names: &HeaderNames,
 ) -> Option<Request<Full<Bytes>>> {
     let mut builder = Request::builder()
         .method(head.method.as_str())
         .uri(head.path.as_str())
-        .header(names.deadline_ms, left_ms);
+        .header(names.deadline_ms, remaining_ms);
     if let Some(name) = names.expected_target {
         builder = builder.header(name, head.target.as_str());
     }
@@ -69,44 +73,45 @@
     builder.body(Full::new(body)).ok()
 }
 
-/// Tells what an answer's head means for the call.
-pub(crate) fn meaning(
+/// Classifies an answer by its status and headers.
+pub(crate) fn classify_answer(
     head: &CallHead,
     status: StatusCode,
     answer: &HeaderMap,
     names: &HeaderNames,
-) -> AnswerMeaning {
+) -> AnswerClass {
     let id = names.request_id.and_then(|name| headers::find(&head.headers, name));
-    let echo = names.request_id.and_then(|name| headers::text(answer, name));
-    if id.is_some() && echo.is_some() && id != echo {
-        return AnswerMeaning::Foreign;
+    let echoed_id = names.request_id.and_then(|name| headers::text(answer, name));
+    if id.is_some() && echoed_id.is_some() && id != echoed_id {
+        return AnswerClass::Mismatched;
     }
     if names.expected_target.is_some() && status == StatusCode::MISDIRECTED_REQUEST {
-        return AnswerMeaning::OtherTarget;
+        return AnswerClass::OtherTarget;
     }
     if names.not_executed.is_some_and(|name| answer.contains_key(name)) {
-        return AnswerMeaning::NotRun;
+        return AnswerClass::NotRun;
     }
     let signed = names.signature.is_none_or(|name| answer.contains_key(name));
-    if status.is_success() && !(signed && echo == id) {
-        return AnswerMeaning::Foreign;
+    if status.is_success() && !(signed && echoed_id == id) {
+        return AnswerClass::Mismatched;
     }
-    AnswerMeaning::Answer
+    AnswerClass::Answer
 }
 
-/// Reads how long work takes at the target now, in percent of the usual.
-pub(crate) fn slowness(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
+/// Reads how long work takes at the target now, in percent of the usual time.
+pub(crate) fn parse_slowness(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
     let text = headers::text(answer, names.load?)?;
-    text.split(',').nth(LOAD_PARTS - 1)?.trim().parse().ok()
+    text.split(',').nth(LOAD_VALUES - 1)?.trim().parse().ok()
 }
 
-/// Reads how many calls the target runs at once.
-pub(crate) fn slots(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
+/// Reads the number of calls that the target runs at once.
+pub(crate) fn parse_slots(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
     let text = headers::text(answer, names.load?)?;
-    text.split(',').nth(LOAD_PARTS - 2)?.trim().parse().ok()
+    text.split(',').nth(LOAD_VALUES - 2)?.trim().parse().ok()
 }
 
-/// Reads the start of an answer, so that a short one is known to be whole.
+/// Reads the start of an answer's body, up to just over [`MAX_WHOLE_ANSWER`], so that a
+/// short body is known to be complete.
 pub(crate) async fn read_start(
     response: Response<Incoming>,
     connection: BusyConnection,
--- /dev/null
+++ b/src/call/guard/target_connections.rs
@@ -0,0 +1,177 @@
+//! HTTP/1.1 connections from a guard to its targets, which carry one call at a time.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{HeaderMap, Request, Response};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use crate::base::clock::{MicroTime, ProcessClock};
+use crate::call::silence::{SilenceLimits, notice_silence};
+
+/// Maximum time to connect to a target on the same host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Time for which an idle connection is kept if the target names no timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// Margin by which a connection is given up before the target's own idle timeout.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+
+/// Maximum idle time of a connection that carries a non-repeatable call.
+///
+/// The target may have closed an idle connection unnoticed; then it is unknown whether
+/// the call ran. A new connection costs about a millisecond.
+const MAX_UNREPEATABLE_IDLE: Duration = Duration::from_secs(1);
+
+/// Timeouts for an unresponsive target. Nothing is lost on the way within a host: bytes
+/// that aren't acknowledged at once never will be.
+const SILENCE_LIMITS: SilenceLimits =
+    SilenceLimits { unacknowledged: Duration::from_millis(300), idle: Duration::from_secs(1) };
+
+/// Maximum number of idle connections to one target.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+
+/// Why a target gave no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum TargetFailure {
+    /// No byte of the call was sent to the target.
+    NotSent,
+    /// The connection broke; the target may have run the call.
+    Broken,
+}
+
+struct IdleConnection {
+    sender: SendRequest<Full<Bytes>>,
+    idle_since: MicroTime,
+    idle_timeout: Duration,
+}
+
+/// Pool of idle connections to all targets of a host.
+pub(crate) struct TargetConnections {
+    /// Clock that counts time in suspension: a target may close connections meanwhile.
+    clock: ProcessClock,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
+}
+
+/// A connection that carries a call; dropping it closes the connection.
+pub(crate) struct BusyConnection {
+    connections: Rc<TargetConnections>,
+    address: SocketAddr,
+    sender: SendRequest<Full<Bytes>>,
+}
+
+impl TargetConnections {
+    /// Creates an empty pool.
+    pub(crate) fn open(clock: ProcessClock) -> Rc<Self> {
+        Rc::new(Self { clock, idle: RefCell::default() })
+    }
+
+    /// Sends a call on an idle connection, or on a new one.
+    ///
+    /// The request is made once a connection is available, so that the remaining time it
+    /// states excludes the time to connect.
+    pub(crate) async fn send(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        make_request: impl Fn() -> Option<Request<Full<Bytes>>>,
+        repeatable: bool,
+    ) -> Result<(Response<Incoming>, BusyConnection), TargetFailure> {
+        let max_idle = if repeatable { Duration::MAX } else { MAX_UNREPEATABLE_IDLE };
+        loop {
+            let idle = self.take_idle(address, max_idle);
+            let fresh = idle.is_none();
+            let mut sender = match idle {
+                Some(sender) => sender,
+                None => connect(address).await.ok_or(TargetFailure::NotSent)?,
+            };
+            let request = make_request().ok_or(TargetFailure::NotSent)?;
+            match sender.try_send_request(request).await {
+                Ok(response) => {
+                    let connections = Rc::clone(self);
+                    return Ok((response, BusyConnection { connections, address, sender }));
+                }
+                Err(mut error) => match error.take_message() {
+                    // The idle connection was closed before a byte was written: tries
+                    // another one.
+                    Some(_unsent) if !fresh => {}
+                    Some(_unsent) => return Err(TargetFailure::NotSent),
+                    None => return Err(TargetFailure::Broken),
+                },
+            }
+        }
+    }
+
+    /// Closes the idle connections to a target that ended, since another target may use
+    /// its address next.
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
+    }
+
+    /// Takes the most recently used idle connection, if it was idle for less than
+    /// `max_idle`.
+    fn take_idle(
+        &self,
+        address: SocketAddr,
+        max_idle: Duration,
+    ) -> Option<SendRequest<Full<Bytes>>> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
+        let idle_time = |idle: &IdleConnection| self.clock.now().since(idle.idle_since).duration();
+        connections.retain(|idle| !idle.sender.is_closed() && idle_time(idle) < idle.idle_timeout);
+        // The target is the least likely to have closed the most recently used one.
+        let newest = connections.pop_if(|newest| idle_time(newest) < max_idle)?;
+        Some(newest.sender)
+    }
+}
+
+impl BusyConnection {
+    /// Returns the connection to the pool; only valid once the answer was read completely.
+    pub(crate) fn release(self, headers: &HeaderMap) {
+        let Some(idle_timeout) = idle_timeout(headers) else { return };
+        if self.sender.is_closed() {
+            return;
+        }
+        let mut idle = self.connections.idle.borrow_mut();
+        let connections = idle.entry(self.address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            let idle_since = self.connections.clock.now();
+            connections.push(IdleConnection { sender: self.sender, idle_since, idle_timeout });
+        }
+    }
+}
+
+/// Returns how long a connection may stay idle; nothing if the target will close it.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let text = |name: &str| crate::call::headers::text(headers, name).unwrap_or_default();
+    if text("connection").to_ascii_lowercase().contains("close") {
+        return None;
+    }
+    let stated = text("keep-alive").split(',').find_map(|part| {
+        let seconds = part.trim().strip_prefix("timeout=")?;
+        seconds.parse().ok().map(Duration::from_secs)
+    });
+    let Some(stated) = stated else { return Some(DEFAULT_IDLE_TIMEOUT) };
+    Some(stated.saturating_sub(IDLE_TIMEOUT_MARGIN))
+}
+
+/// Opens a connection to a target; returns nothing if that fails.
+async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    let socket = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    socket.set_nodelay(true).ok()?;
+    notice_silence(&socket, &SILENCE_LIMITS).ok()?;
+    let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
+    // An error of the connection also shows in the call that it carries.
+    spawn_local(async move { drop(connection.await) });
+    Some(sender)
+}
--- a/src/call/guard/target_life.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -1,7 +1,7 @@
-//! What a guard believes of its targets: their announcements, drains and ends.
+//! Announcements, drains and ends of a guard's targets.
 //!
-//! May use the leases and queues of targets; must hold: a queue is open only while
-//! its target's lease is ready, and peers are told of each change.
+//! Invariants: a target's queue is open only while its lease is ready; every change of
+//! readiness is published to the peers.
 
 use slog::{info, warn};
 
@@ -9,56 +9,54 @@
 use crate::base::ids::{ServiceName, TargetName};
 use crate::base::member::TargetNotice;
 use crate::call::guard::GuardDuty;
-use crate::call::guard::cold::ColdSource;
+use crate::call::guard::cold_targets::ColdSource;
 use crate::call::guard::local_target::LocalTarget;
 use crate::decide::life_order::{LifeChange, TargetLife};
 use crate::duty::events::PeersEvent;
 use crate::duty::target_report::{TargetAnnouncement, TargetReport};
 
-/// Ended targets remembered; a host has one target at a time.
+/// Maximum number of ended targets to remember; a host has one target at a time.
 const MAX_ENDED: usize = 64;
 
 impl GuardDuty {
-    pub(crate) fn take_report(&self, report: TargetReport) {
+    /// Applies a report that a target, or the platform for it, sent to the daemon.
+    pub(crate) fn handle_report(&self, report: TargetReport) {
         match report {
-            TargetReport::Alive {
-                announcement,
-                started_at_ms: born,
-                sequence,
-                cold_remaining: cold,
-            } => {
-                if !self.is_named(&announcement.service) {
-                    warn!(self.logger, "service unknown"; "target" => %announcement.target,
+            TargetReport::Alive { announcement, started_at_ms, sequence, cold_remaining } => {
+                if !self.is_configured(&announcement.service) {
+                    warn!(self.logger, "unknown service"; "target" => %announcement.target,
                         "service" => %announcement.service);
                     return;
                 }
                 let key = (announcement.service.clone(), announcement.target.clone());
-                if self.announce(announcement, born, Some(sequence)) {
-                    self.hear_cold(&key, cold, ColdSource::Heartbeat);
+                if self.handle_announcement(announcement, started_at_ms, Some(sequence)) {
+                    self.update_cold_remaining(&key, cold_remaining, ColdSource::Heartbeat);
                 }
             }
-            TargetReport::Leaving { name, started_at_ms: born } => self.end_target(&name, born),
+            TargetReport::Leaving { name, started_at_ms } => self.end_target(&name, started_at_ms),
         }
     }
 
-    /// Tells whether the configuration in force, if any, names a service.
-    fn is_named(&self, service: &ServiceName) -> bool {
+    /// Tells whether the active configuration names a service; true if there is none yet.
+    fn is_configured(&self, service: &ServiceName) -> bool {
         self.config.borrow().as_ref().is_none_or(|config| config.names(service))
     }
 
-    /// Takes a target's announcement; `false` if it is late or of an earlier life.
+    /// Applies a target's announcement; returns `false` if it is late or from an earlier
+    /// incarnation.
     ///
-    /// One without a number is never late.
-    pub(crate) fn announce(
+    /// An announcement without a sequence number is never late.
+    pub(crate) fn handle_announcement(
         &self,
         announcement: TargetAnnouncement,
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
         sequence: Option<u64>,
     ) -> bool {
-        let Some(life) = self.life_after_end(&announcement.target, born, sequence) else {
+        let Some(incarnation) = self.incarnation_of(&announcement.target, started_at_ms, sequence)
+        else {
             return false;
         };
-        if !self.take_address(&announcement, &life) {
+        if !self.displace_earlier_targets(&announcement, &incarnation) {
             return false;
         }
         let now = self.clock.now();
@@ -67,102 +65,112 @@
         let mut suspects = Vec::new();
         let mut targets = self.targets.borrow_mut();
         if let Some(target) = targets.get_mut(&key) {
-            match target.life.hear(born, sequence) {
+            match target.incarnation.hear(started_at_ms, sequence) {
                 LifeChange::Late => return false,
                 LifeChange::Present => target.renew(now, announcement),
                 LifeChange::Anew => {
                     suspects = target.end_runs(now);
                     info!(self.logger, "target restarted"; "target" => %announcement.target,
-                        "born" => born, "running" => target.running());
-                    self.pool.forget(target.announcement.address);
+                        "born" => started_at_ms, "running" => target.running());
+                    self.connections.close_idle(target.announcement.address);
                     target.restart(now, announcement, self.target_lease.get(), &mut actions);
-                    self.bound_cold_target(target);
+                    self.update_cold_bound(target);
                 }
             }
         } else {
             info!(self.logger, "target announced"; "target" => %announcement.target,
-                "born" => born);
-            let mut target = LocalTarget::open(now, announcement, life, self.target_lease.get());
+                "born" => started_at_ms);
+            let mut target =
+                LocalTarget::open(now, announcement, incarnation, self.target_lease.get());
             target.queue.cold_mut().follow_predecessor(MicroTime(0));
-            self.bound_cold_target(&mut target);
+            self.update_cold_bound(&mut target);
             targets.insert(key.clone(), target);
         }
         drop(targets);
-        self.suspect(&key.1, suspects);
-        self.carry_out(actions);
-        self.check_leases();
+        self.report_suspects(&key.1, suspects);
+        self.execute_actions(actions);
+        self.apply_leases();
         true
     }
 
-    /// Ends what was at an announcement's address before it; `false` if one that was
-    /// born later is there, so that the announcement is a late one.
-    fn take_address(&self, announcement: &TargetAnnouncement, life: &TargetLife) -> bool {
+    /// Ends earlier targets at an announcement's address.
+    ///
+    /// Returns `false` if a target that started later uses the address: then the
+    /// announcement is late.
+    fn displace_earlier_targets(
+        &self,
+        announcement: &TargetAnnouncement,
+        incarnation: &TargetLife,
+    ) -> bool {
         let mut earlier = Vec::new();
         for (key, target) in &*self.targets.borrow() {
             let other = &target.announcement;
             if other.address != announcement.address || other.target == announcement.target {
                 continue;
             }
-            if life.is_before(&target.life) {
+            if incarnation.is_before(&target.incarnation) {
                 return false;
             }
-            if target.life.is_before(life) && !target.life.is_ended() {
+            if target.incarnation.is_before(incarnation) && !target.incarnation.is_ended() {
                 earlier.push(key.clone());
             }
         }
         for key in &earlier {
-            self.suspect_runs(key);
+            self.suspect_running(key);
             self.end_target(&key.1, None);
         }
         true
     }
 
-    /// Returns the life that an announcement is of, unless that life ended before.
-    fn life_after_end(
+    /// Returns the incarnation that an announcement is from, unless it has ended already.
+    fn incarnation_of(
         &self,
         name: &TargetName,
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
         sequence: Option<u64>,
     ) -> Option<TargetLife> {
         let mut ended = self.ended.borrow_mut();
-        let place = ended.iter().position(|(ended, _)| ended == name);
-        if let Some(place) = place {
-            if ended[place].1.hear(born, sequence) != LifeChange::Anew {
+        let index = ended.iter().position(|(ended, _)| ended == name);
+        if let Some(index) = index {
+            if ended[index].1.hear(started_at_ms, sequence) != LifeChange::Anew {
                 return None;
             }
-            ended.remove(place);
+            ended.remove(index);
         }
-        Some(TargetLife::open(born, sequence.unwrap_or_default()))
+        Some(TargetLife::open(started_at_ms, sequence.unwrap_or_default()))
     }
 
-    /// Ends a target's life: what it said earlier may still arrive, late. A word of
-    /// an earlier life's end does not touch the present one.
-    pub(crate) fn end_target(&self, name: &TargetName, born: Option<u64>) {
-        let mut life = TargetLife::open(born, 0);
+    /// Ends a target's incarnation and remembers it, since earlier heartbeats may still
+    /// arrive late.
+    ///
+    /// The end of an earlier incarnation doesn't affect the current one.
+    pub(crate) fn end_target(&self, name: &TargetName, started_at_ms: Option<u64>) {
+        let mut incarnation = TargetLife::open(started_at_ms, 0);
         for target in self.targets.borrow_mut().values_mut() {
             if target.announcement.target != *name {
                 continue;
             }
-            if !target.life.end(born) {
-                info!(self.logger, "late end"; "target" => %name, "born" => born);
+            if !target.incarnation.end(started_at_ms) {
+                info!(self.logger, "late end ignored"; "target" => %name, "born" => started_at_ms);
                 return;
             }
-            life = target.life;
+            incarnation = target.incarnation;
             target.lease.end();
-            self.pool.forget(target.announcement.address);
+            self.connections.close_idle(target.announcement.address);
         }
-        // Of a target that is not known, too.
-        life.end(born);
+        // Also remembers the end of an unknown target.
+        incarnation.end(started_at_ms);
         let mut ended = self.ended.borrow_mut();
         ended.retain(|(other, _)| other != name);
-        ended.push_back((name.clone(), life));
+        ended.push_back((name.clone(), incarnation));
         if ended.len() > MAX_ENDED {
             ended.pop_front();
         }
         drop(ended);
-        self.check_leases();
+        self.apply_leases();
     }
 
+    /// Starts or ends an operator's drain; returns whether the target is known.
     pub(crate) fn drain(&self, name: &TargetName, drained: bool) -> bool {
         let mut found = false;
         for target in self.targets.borrow_mut().values_mut() {
@@ -171,22 +179,24 @@
                 found = true;
             }
         }
-        self.check_leases();
+        self.apply_leases();
         found
     }
 
-    /// Opens and shuts queues as the leases say, and tells the peers.
-    pub(crate) fn check_leases(&self) {
+    /// Opens and closes the queues according to the leases, and publishes changes to the
+    /// peers.
+    pub(crate) fn apply_leases(&self) {
         let now = self.clock.now();
         let stopping = *self.stopping.borrow();
         let mut actions = Vec::new();
         let mut changed = false;
         for target in self.targets.borrow_mut().values_mut() {
             let ready = target.lease.is_ready(now) && !stopping;
-            changed |= ready != std::mem::replace(&mut target.told_ready, ready);
+            changed |= ready != std::mem::replace(&mut target.published_ready, ready);
             let open = ready && !self.evacuated.get();
             if open == target.queue.is_leaving() {
-                info!(self.logger, "target"; "name" => %target.announcement.target, "ready" => ready, "open" => open);
+                info!(self.logger, "target state changed";
+                    "name" => %target.announcement.target, "ready" => ready, "open" => open);
                 if open {
                     target.queue.rejoin();
                 } else {
@@ -194,19 +204,20 @@
                 }
             }
         }
-        self.carry_out(actions);
+        self.execute_actions(actions);
         if changed {
-            self.tell_peers();
+            self.publish_targets();
         }
     }
 
-    fn tell_peers(&self) {
+    /// Publishes the host's targets and their readiness to the peers.
+    fn publish_targets(&self) {
         let targets = self.targets.borrow();
         let notices = targets.values().map(|target| TargetNotice {
             service: target.announcement.service.clone(),
             name: target.announcement.target.clone(),
             slots: target.announcement.slots,
-            ready: target.told_ready,
+            ready: target.published_ready,
         });
         let mut notices: Vec<TargetNotice> = notices.collect();
         notices.sort_by(|a, b| a.name.cmp(&b.name));
