--- a/src/call/guard/cold_targets.rs
+++ b/src/call/guard/cold_targets.rs
@@ -21,22 +21,22 @@
 }
 
 impl GuardDuty {
-    /// Sets the call rate limit of every cold target according to the configuration.
-    pub(super) fn update_cold_bounds(&self) {
+    /// Updates the maximum call rates of cold targets from the configuration.
+    pub(super) fn update_cold_rates(&self) {
         for target in self.targets.borrow_mut().values_mut() {
-            self.update_cold_bound(target);
+            self.update_cold_rate(target);
         }
     }
 
-    pub(super) fn update_cold_bound(&self, target: &mut LocalTarget) {
+    pub(super) fn update_cold_rate(&self, target: &mut LocalTarget) {
         let config = self.config.borrow();
         let start =
             config.as_ref().and_then(|config| config.cold_start(&target.announcement.service));
-        let bound =
+        let max_rate =
             start.map(|start| self.cold_terms.get().bound(f64::from(start.per_1000_s) / 1_000.0));
         // The rate that a cold target can take is unknown until the first configuration.
-        let bound = if config.is_some() { bound } else { Some(0) };
-        target.queue.cold_mut().set_bound(bound);
+        let max_rate = if config.is_some() { max_rate } else { Some(0) };
+        target.queue.cold_mut().set_bound(max_rate);
     }
 
     /// Updates how much longer a target reports to stay cold; zero means that it is warm.
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the load of a target, or nothing if the probe is for another incarnation
+    /// Returns the load of a target, or `None` if the probe is for another incarnation
     /// of this daemon or an unknown target.
     fn probe_load(&self, request: ProbeRequest) -> Option<ProbeReply> {
         let ProbeRequest { incarnation, service, target } = request;
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -185,7 +185,7 @@
     healthy: bool,
 }
 
-/// Sends a health check to a target; returns nothing if it gives no answer in time.
+/// Sends a health check to a target; returns `None` if it gives no answer in time.
 async fn fetch_health(duty: &GuardDuty, address: SocketAddr, path: &str) -> Option<HealthReply> {
     duty.metrics.health_asks.inc();
     let make_request = || {
--- a/src/call/guard/load_reports.rs
+++ b/src/call/guard/load_reports.rs
@@ -46,7 +46,7 @@
 /// The entries that watch a guard from its own or from other data centres.
 pub(crate) struct WatcherGroup {
     changes: watch::Sender<()>,
-    pace: RefCell<ReportPace>,
+    pacer: RefCell<ReportPace>,
 }
 
 /// All entries that watch a guard.
@@ -57,14 +57,14 @@
 
 impl WatcherGroup {
     fn open(bytes_per_s: u32) -> Self {
-        let pace = RefCell::new(ReportPace::open(bytes_per_s));
-        Self { changes: watch::Sender::new(()), pace }
+        let pacer = RefCell::new(ReportPace::open(bytes_per_s));
+        Self { changes: watch::Sender::new(()), pacer }
     }
 
     /// Reserves the bytes for a report to the whole group, if the budget allows one now.
     fn try_reserve(&self, now: MicroTime) -> bool {
         let bytes = self.changes.receiver_count() as u64 * REPORT_BYTES;
-        self.pace.borrow_mut().take(now, bytes)
+        self.pacer.borrow_mut().take(now, bytes)
     }
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// Tells whether a load differs enough from the published one to be worth a report.
+/// Returns whether a load differs enough from the published one to be worth a report.
 pub(crate) fn is_significant_change(published: &LoadReport, now: &LoadReport) -> bool {
     let difference = published.slowness.abs_diff(now.slowness);
     let slowness_changed =
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -28,7 +28,7 @@
     pub(crate) claiming: usize,
     /// Readiness as last published to the peers. An evacuation of the data centre isn't
     /// part of it, since it is published once for all targets.
-    pub(crate) published_ready: bool,
+    pub(crate) advertised_ready: bool,
     /// Load that was last published to watchers in this data centre.
     pub(crate) published_local_load: LoadReport,
     /// Load that was last published to watchers in other data centres.
@@ -61,7 +61,7 @@
             queue,
             incarnation,
             claiming: 0,
-            published_ready: false,
+            advertised_ready: false,
             published_local_load: LoadReport::default(),
             published_remote_load: LoadReport::default(),
             running_requests: RunRoster::default(),
@@ -102,7 +102,7 @@
     /// Records the end of the target's incarnation and returns the requests that ran on
     /// it.
     ///
-    /// Returns none if the target had announced that it leaves: then its end is no crash.
+    /// Returns no requests if the target had announced its end, since that is no crash.
     pub(crate) fn end_runs(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
         let mut notices = self.running_requests.end(now);
         notices.retain(|_notice| !self.lease.is_leaving());
@@ -114,7 +114,7 @@
         self.queue.running()
     }
 
-    /// Tells whether the target takes new calls.
+    /// Returns whether the target takes new calls.
     pub(crate) const fn is_open(&self) -> bool {
         !self.queue.is_leaving()
     }
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -95,6 +95,7 @@
 /// retry delay in milliseconds.
 pub(crate) type AdmissionDecision = Result<(), (RefusalReason, u32)>;
 
+/// State of the guard duty.
 pub(crate) struct GuardDuty {
     pub(crate) clock: ProcessClock,
     pub(crate) host: HostName,
@@ -189,7 +190,7 @@
             }
             GuardEvent::Config(config) => {
                 *self.config.borrow_mut() = Some(config);
-                self.update_cold_bounds();
+                self.update_cold_rates();
                 self.update_held_quotas();
             }
             GuardEvent::Fleet(view) => self.set_fleet_view(view),
@@ -202,7 +203,7 @@
                 let mut targets = self.targets.borrow_mut();
                 targets.values_mut().for_each(|target| target.lease.extend_to(lease));
                 drop(targets);
-                self.update_cold_bounds();
+                self.update_cold_rates();
             }
             GuardEvent::Evacuated(evacuated) => self.set_evacuated(evacuated),
             GuardEvent::Suspects(notices) => self.record_suspects(&notices),
@@ -243,16 +244,17 @@
         self.execute_actions(actions);
     }
 
+    /// Passes the decisions of an admission queue to the calls that wait for them.
     pub(crate) fn execute_actions(&self, actions: Vec<AdmissionAction>) {
         for action in actions {
-            let (call, signal) = match action {
+            let (call, decision) = match action {
                 AdmissionAction::Start(call) => (call, Ok(())),
                 AdmissionAction::Refuse { call, reason, retry_after_ms } => {
                     (call, Err((reason, retry_after_ms)))
                 }
             };
             if let Some(waiter) = self.waiters.borrow_mut().remove(&call) {
-                _ = waiter.send(signal);
+                _ = waiter.send(decision);
             }
         }
     }
@@ -324,6 +326,7 @@
         self.open_streams.send_modify(|streams| *streams -= 1);
     }
 
+    /// Passes a write to the platform duty; drops and counts it if the ring buffer is full.
     pub(crate) fn write_row(&self, write: TableWrite) {
         if self.rings.platform.push(PlatformEvent::Write(write)).is_err() {
             self.metrics.shed.with_label_values(&["platform"]).inc();
@@ -341,12 +344,14 @@
         self.step_queue(key, AdmissionEvent::Tick);
     }
 
+    /// Returns the current load of a target; a default report if the target is unknown.
     pub(crate) fn load(&self, key: &(ServiceName, TargetName)) -> LoadReport {
         let mut targets = self.targets.borrow_mut();
         let now = self.clock.now();
         targets.get_mut(key).map(|target| target.queue.load(now)).unwrap_or_default()
     }
 
+    /// Logs and counts the refusal of a call, and returns its answer.
     pub(crate) fn refusal(
         &self,
         call: &ServedCall,
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -45,7 +45,7 @@
 pub(crate) struct ClaimPermit<'a>(&'a ServedCall);
 
 impl<'a> ClaimPermit<'a> {
-    /// Returns a permit, or nothing if too many of the target's slots wait for the table.
+    /// Returns a permit, or `None` if too many of the target's slots wait for the table.
     pub(crate) fn acquire(call: &'a ServedCall) -> Option<Self> {
         let mut targets = call.duty.targets.borrow_mut();
         let target = targets.get_mut(&call.key)?;
--- a/src/call/guard/target_call.rs
+++ b/src/call/guard/target_call.rs
@@ -42,7 +42,7 @@
 
 /// Makes the request for a target; `remaining_ms` is the time left until the deadline.
 ///
-/// Returns nothing if the method, the path or a header is invalid.
+/// Returns `None` if the method, the path or a header is invalid.
 pub(crate) fn make_request(
     head: &CallHead,
     body: Bytes,
--- a/src/call/guard/target_connections.rs
+++ b/src/call/guard/target_connections.rs
@@ -36,7 +36,7 @@
 
 /// Timeouts for an unresponsive target. Nothing is lost on the way within a host: bytes
 /// that aren't acknowledged at once never will be.
-const SILENCE_LIMITS: SilenceLimits =
+const KEEPALIVE_LIMITS: SilenceLimits =
     SilenceLimits { unacknowledged: Duration::from_millis(300), idle: Duration::from_secs(1) };
 
 /// Maximum number of idle connections to one target.
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns how long a connection may stay idle; nothing if the target will close it.
+/// Returns how long a connection may stay idle; `None` if the target will close it.
 fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name: &str| crate::call::headers::text(headers, name).unwrap_or_default();
     if text("connection").to_ascii_lowercase().contains("close") {
@@ -165,11 +165,11 @@
     Some(stated.saturating_sub(IDLE_TIMEOUT_MARGIN))
 }
 
-/// Opens a connection to a target; returns nothing if that fails.
+/// Opens a connection to a target; returns `None` if that fails.
 async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let socket = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     socket.set_nodelay(true).ok()?;
-    notice_silence(&socket, &SILENCE_LIMITS).ok()?;
+    notice_silence(&socket, &KEEPALIVE_LIMITS).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
     // An error of the connection also shows in the call that it carries.
     spawn_local(async move { drop(connection.await) });
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Tells whether the active configuration names a service; true if there is none yet.
+    /// Returns whether the active configuration names a service; true if there is none yet.
     fn is_configured(&self, service: &ServiceName) -> bool {
         self.config.borrow().as_ref().is_none_or(|config| config.names(service))
     }
@@ -74,7 +74,7 @@
                         "born" => started_at_ms, "running" => target.running());
                     self.connections.close_idle(target.announcement.address);
                     target.restart(now, announcement, self.target_lease.get(), &mut actions);
-                    self.update_cold_bound(target);
+                    self.update_cold_rate(target);
                 }
             }
         } else {
@@ -83,7 +83,7 @@
             let mut target =
                 LocalTarget::open(now, announcement, incarnation, self.target_lease.get());
             target.queue.cold_mut().follow_predecessor(MicroTime(0));
-            self.update_cold_bound(&mut target);
+            self.update_cold_rate(&mut target);
             targets.insert(key.clone(), target);
         }
         drop(targets);
@@ -192,7 +192,7 @@
         let mut changed = false;
         for target in self.targets.borrow_mut().values_mut() {
             let ready = target.lease.is_ready(now) && !stopping;
-            changed |= ready != std::mem::replace(&mut target.published_ready, ready);
+            changed |= ready != std::mem::replace(&mut target.advertised_ready, ready);
             let open = ready && !self.evacuated.get();
             if open == target.queue.is_leaving() {
                 info!(self.logger, "target state changed";
@@ -206,18 +206,18 @@
         }
         self.execute_actions(actions);
         if changed {
-            self.publish_targets();
+            self.advertise_targets();
         }
     }
 
     /// Publishes the host's targets and their readiness to the peers.
-    fn publish_targets(&self) {
+    fn advertise_targets(&self) {
         let targets = self.targets.borrow();
         let notices = targets.values().map(|target| TargetNotice {
             service: target.announcement.service.clone(),
             name: target.announcement.target.clone(),
             slots: target.announcement.slots,
-            ready: target.published_ready,
+            ready: target.advertised_ready,
         });
         let mut notices: Vec<TargetNotice> = notices.collect();
         notices.sort_by(|a, b| a.name.cmp(&b.name));
