--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -160,7 +160,8 @@
 ///
 /// # Errors
 ///
-/// Fails when `daemon` can't be reached; the others are shown without an answer then.
+/// Fails when `daemon` can't be reached. Others that can't be reached are shown without an
+/// answer.
 pub(crate) async fn read_status(daemon: SocketAddr) -> Result<Vec<HostStatus>, OperatorError> {
     let view = read_members(daemon).await?;
     let mut hosts: Vec<HostStatus> = view.members.iter().map(initial_status).collect();
