--- a/tests/request_trace.rs
+++ b/tests/request_trace.rs
@@ -1,4 +1,4 @@
-//! The story of a request, from logs that may be cut or mixed.
+//! Trace of a request, from logs that may be cut or mixed.
 
 use railspan::RequestTrace;
 
@@ -19,36 +19,36 @@
 
 #[test]
 fn lines_of_several_daemons_are_joined_in_order() {
-    let story = RequestTrace::read("abc", &logs());
-    let told: Vec<_> = story.lines.iter().map(|line| (&*line.host, &*line.msg)).collect();
+    let trace = RequestTrace::read("abc", &logs());
+    let told: Vec<_> = trace.lines.iter().map(|line| (&*line.host, &*line.msg)).collect();
     let expected =
         [("host-a", "chosen"), ("host-b", "sent"), ("host-b", "chosen"), ("host-a", "answered")];
     assert_eq!(told, expected);
-    assert!(story.render().contains("host-b chosen call=abc.1 target=i-5"), "{}", story.render());
+    assert!(trace.render().contains("host-b chosen call=abc.1 target=i-5"), "{}", trace.render());
 }
 
 #[test]
 fn a_cut_line_is_named_and_passed_over() {
-    let story = RequestTrace::read("abc", &logs());
+    let trace = RequestTrace::read("abc", &logs());
     let places: Vec<_> =
-        story.findings.iter().map(|finding| (&*finding.file, finding.place.line)).collect();
+        trace.findings.iter().map(|finding| (&*finding.file, finding.place.line)).collect();
     assert_eq!(places, [("a.log", 5)]);
 }
 
 #[test]
-fn a_digest_tells_the_story_of_all_copies() {
+fn a_digest_traces_all_copies() {
     let line = |id: &str, ts: &str| {
         format!(r#"{{"msg":"chosen","ts":"{ts}","host":"a","digest":"00ff","id":"{id}"}}"#)
     };
     let text = [line("one", "2"), line("two", "1")].join("\n");
-    let story = RequestTrace::read("00ff", &[("a.log".into(), text)]);
+    let trace = RequestTrace::read("00ff", &[("a.log".into(), text)]);
     assert_eq!(
-        story.render(),
+        trace.render(),
         "1 a chosen call=two digest=00ff\n2 a chosen call=one digest=00ff\n"
     );
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn an_unknown_request_has_no_trace() {
     assert!(RequestTrace::read("nobody", &logs()).lines.is_empty());
 }
