--- a/src/base/call_status.rs
+++ b/src/base/call_status.rs
@@ -1,4 +1,4 @@
-//! What became of a call, as daemons and the store tell it.
+//! Outcome of a call, as daemons exchange it and as the table stores it.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,32 @@
 
 use crate::base::ids::{CallId, DaemonIncarnation, HostName};
 
-/// The answer of a call that ran, kept for repeats.
+/// Answer of a completed call, kept for repeats with the same idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, where the target named one.
+    /// Content type, if the target sent one.
     pub content_type: Option<String>,
-    /// The body, or nothing where it was over the limit.
+    /// Body, or `None` if it was longer than [`MAX_RECORDED_BODY`](crate::MAX_RECORDED_BODY).
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallStatus {
-    /// It did not run, and never will.
+    /// The call did not run and never will.
     NotRun,
-    /// It was dispatched and has not ended.
+    /// The call was dispatched and has not ended.
     Running,
-    /// It ran to its end.
+    /// The call ran to its end.
     Answered(RecordedAnswer),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
 impl CallStatus {
-    /// Returns the status as a word for logs.
+    /// Returns the status as a label for logs.
     pub(crate) const fn label(&self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -42,35 +42,35 @@
     }
 }
 
-/// The state of a claim in the table.
+/// State of a claim in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Its guard may dispatch, or has dispatched, the call.
+    /// The guard may dispatch the call, or has dispatched it.
     Started,
     /// The call ran to its end.
     Answered(RecordedAnswer),
-    /// The call may have run; nobody will learn more.
+    /// The call may have run; its outcome can't be found out any more.
     Unknown,
 }
 
-/// The row that stands for one idempotency key.
+/// Table row that claims one idempotency key for a call.
 ///
-/// Only the guard whose insert created or took over the row may dispatch.
-/// The row is no lease: it never expires into the hands of another.
+/// Only the guard whose write created the row or took it over may dispatch the call. The
+/// row is not a lease: no other guard gets the claim because time has passed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The call that holds the key.
     pub call: CallId,
     /// The host whose guard runs the call.
     pub host: HostName,
-    /// Where that guard listens.
+    /// Address on which that guard listens.
     pub guard: SocketAddr,
-    /// The guard's life; another one knows nothing of the call.
+    /// Incarnation of that guard's daemon; any other has no record of the call.
     pub incarnation: DaemonIncarnation,
-    /// Hash of the request.
+    /// Hash of the request, which tells a repeat from another request with the same key.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// What is known of the call.
+    /// State of the call.
     pub state: ClaimState,
 }
--- a/src/base/clock.rs
+++ b/src/base/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the kernels see it: microseconds, passed in with each event.
+//! Time in microseconds, which the kernels receive with each event, and its source.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use nix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// A point in time, or a span, in microseconds since a process began.
+/// A duration in microseconds, or a point in time as the duration since the process started.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -19,13 +19,13 @@
         Self(millis * 1_000)
     }
 
-    /// Returns the span from `earlier`, or zero where the clock went back.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns whole milliseconds, rounded up.
+    /// Returns the number of whole milliseconds, rounded up.
     #[must_use]
     pub const fn ceil_millis(self) -> u64 {
         self.0.div_ceil(1_000)
@@ -60,11 +60,11 @@
     }
 }
 
-/// The clock of one process, which never goes back.
+/// Monotonic clock of one process.
 ///
-/// It counts the time for which its host is suspended, as the steady clock of the
-/// standard library and of timers does not: a lease that ran out meanwhile has run out,
-/// and a call that waited through it is late, whenever the timers fire.
+/// Unlike the monotonic clock of the standard library and of timers, it includes the time
+/// for which the host is suspended: a lease that ended during a suspension has expired, and
+/// a call that waited through one is late, even if the timers have not fired.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessClock {
     origin: Duration,
@@ -82,8 +82,8 @@
     }
 }
 
-/// Returns the time since the host started, that of its suspensions included.
+/// Returns the time since the host booted, including the time it was suspended.
 fn since_boot() -> Duration {
-    // Every kernel that is supported has this clock.
+    // All supported kernels have this clock.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
 }
--- a/src/base/consts.rs
+++ b/src/base/consts.rs
@@ -1,55 +1,57 @@
-//! Limits and intervals that every daemon agrees on.
+//! Limits and intervals that are the same in all daemons.
 
 use std::time::Duration;
 
 /// Largest request body an entry accepts, in bytes.
 ///
-/// A body is held whole so that a refused call can go to a second target.
+/// The entry buffers the whole body, so that it can send a refused call to a second target.
 pub const MAX_REQUEST_BODY: usize = 1 << 20;
 
-/// Largest encoded head between two daemons, in bytes.
+/// Largest encoded head of a message between two daemons, in bytes.
 pub const MAX_HEAD: usize = 64 << 10;
 
-/// Longest start of an answer that a guard reads before it sends any of it on,
-/// in bytes: an answer that breaks within it can still be replaced.
+/// Number of bytes of an answer that a guard buffers before it forwards any of them.
+///
+/// An answer that breaks off within them can still be replaced by another.
 pub const MAX_BUFFERED_ANSWER: usize = 128 << 10;
 
-/// Largest answer body that is kept with a recorded outcome, in bytes.
+/// Largest answer body that is recorded with the outcome of a call, in bytes.
 pub const MAX_RECORDED_BODY: usize = 4 << 10;
 
 /// Longest idempotency key, in bytes.
 pub const MAX_IDEMPOTENCY_KEY: usize = 200;
 
-/// Longest deadline a caller may ask for, in milliseconds.
+/// Longest time to a deadline that a caller may request, in milliseconds.
 pub const MAX_DEADLINE_MS: u32 = 120_000;
 
-/// Deadline of a call whose template names none, in milliseconds.
+/// Time to the deadline of a call whose template sets none, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u32 = 2_000;
 
-/// How long a sender may take over one request head or body.
+/// Longest time in which a sender must complete one request head or body.
 pub const SENDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many targets one call may try, the first included.
+/// Number of targets that one call may be sent to, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// How long the guard waits for the table to accept a claim.
+/// Longest time for which a guard waits for the table to accept a claim.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long the status of a finished or revoked call is remembered.
+/// Time for which a guard keeps the status of a finished or revoked call.
 ///
-/// Longer than [`MAX_DEADLINE_MS`], so that no late copy outlives the memory.
+/// Longer than [`MAX_DEADLINE_MS`], so that no late copy of the call arrives after its
+/// status is dropped.
 pub const LEDGER_RETENTION: Duration = Duration::from_secs(150);
 
-/// How many calls one guard remembers at most.
+/// Number of calls whose status one guard keeps at most.
 ///
-/// Room for 1,300 denied calls a second, four times the mean rate of a target
-/// at the size to design for.
+/// Enough for 1,300 denied calls a second, four times the mean call rate of one target at
+/// the fleet size that the design is for.
 pub const LEDGER_CAPACITY: usize = 200_000;
 
-/// Longest pause in a body, from a target or towards a caller.
+/// Longest pause within a body that is read from a target or sent to a caller.
 pub const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time a target's announcement stays valid without a heartbeat.
+/// Time for which a target's announcement stays valid without a heartbeat.
 pub const TARGET_LEASE: Duration = Duration::from_secs(3);
 
 /// Interval between two gossip probes of one daemon.
@@ -58,27 +60,27 @@
 /// Largest gossip datagram, in bytes: fits one Ethernet frame.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// Time after which an unanswered suspect counts as dead, in gossip periods.
+/// Time after which a suspected member that does not answer is declared dead, in gossip
+/// periods.
 pub const SUSPECT_PERIODS: u32 = 6;
 
-/// Reads of the configuration head that the whole fleet makes, per second.
+/// Rate at which the whole fleet polls the configuration head, in reads per second.
 pub const HEAD_POLLS_PER_S: f64 = 40.0;
 
-/// Shortest and longest interval between two head polls of one daemon.
+/// Shortest and longest interval between two polls of the configuration head by one daemon.
 pub const HEAD_POLL_BOUNDS: (Duration, Duration) =
     (Duration::from_secs(2), Duration::from_secs(30));
 
-/// Longest wait for one answer of the platform.
+/// Longest wait for one response of the platform's store.
 pub const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Claims that one table transaction carries at most.
+/// Largest number of claims in one table transaction.
 pub const MAX_CLAIM_BATCH: usize = 64;
 
-/// Messages that a ring between two duties holds.
+/// Capacity of a ring buffer between two duties, in messages.
 pub const RING_CAPACITY: usize = 512;
 
-/// Part of its budget an attempt leaves for a confirmed revocation.
+/// Time before the deadline at which an entry revokes an unanswered attempt.
 ///
-/// The entry revokes this long before the deadline, so that the final answer
-/// still leaves in time.
+/// It is long enough to have the revocation confirmed and still answer the caller in time.
 pub const REVOKE_MARGIN: Duration = Duration::from_millis(40);
--- a/src/base/counted_socket.rs
+++ b/src/base/counted_socket.rs
@@ -1,4 +1,4 @@
-//! A connection whose bytes are counted.
+//! TCP connection that counts its bytes.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection that counts what is read and written, where its bytes are paid for.
+/// Counts the bytes read and written on a connection whose traffic is charged for.
 #[derive(Debug)]
 pub(crate) struct CountedSocket {
     socket: TcpStream,
@@ -16,7 +16,7 @@
 }
 
 impl CountedSocket {
-    /// Counts the bytes of a connection with `bytes`, or leaves them uncounted.
+    /// Wraps a connection; its bytes are added to `bytes`, if given.
     pub(crate) fn open(socket: TcpStream, bytes: Option<IntCounter>) -> Self {
         Self { socket, bytes }
     }
--- a/src/base/digest.rs
+++ b/src/base/digest.rs
@@ -1,15 +1,15 @@
-//! What makes two requests the same one.
+//! Identity of requests by their content.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A request told by what it asks, not by the id of one attempt.
+/// Identifies a request by its content, independent of caller, host and attempt.
 ///
-/// Callers, hosts and attempts change; the account, the place that is asked, the method,
-/// the path with its query and the body do not. Headers and idempotency keys are left
-/// out: they are drawn anew when a caller comes again, and a target that ends over a
-/// body ends over it under any key.
+/// The digest covers the account, the host name or service that is addressed, the method,
+/// the path with its query, and the body. Headers and idempotency keys are left out:
+/// callers generate new ones when they retry, and a body that crashes a target does so
+/// under any key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest(pub u128);
 
@@ -22,7 +22,7 @@
         Self(u128::from_be_bytes(bytes.try_into().unwrap_or_default()))
     }
 
-    /// Reads a digest as [`fmt::Display`] writes it.
+    /// Parses a digest in the format of its [`fmt::Display`] implementation.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 32).map(Self)
@@ -36,7 +36,7 @@
 }
 
 impl Serialize for RequestDigest {
-    /// As text for people, as a number between daemons.
+    /// Serialises as text in human-readable formats, and as a number between daemons.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
             serializer.collect_str(self)
@@ -52,11 +52,14 @@
             return u128::deserialize(deserializer).map(Self);
         }
         let text = String::deserialize(deserializer)?;
-        Self::parse(&text).ok_or_else(|| serde::de::Error::custom("not a request's digest"))
+        Self::parse(&text).ok_or_else(|| {
+            serde::de::Error::custom("expected a request digest of 32 hexadecimal digits")
+        })
     }
 }
 
-/// Hashes parts so that no two lists of parts read alike.
+/// Hashes a list of byte strings, each preceded by its length, so that different lists
+/// give different input to the hash.
 pub(crate) fn hash_parts(parts: &[&[u8]]) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/src/base/evacuation.rs
+++ b/src/base/evacuation.rs
@@ -1,4 +1,4 @@
-//! Which data centres an operator wants empty.
+//! Data centres that an operator has evacuated.
 
 use std::collections::BTreeSet;
 
@@ -6,46 +6,48 @@
 
 use crate::base::ids::CentreName;
 
-/// The data centres whose targets get no calls, as the platform's store had them at a
-/// moment.
+/// Evacuated data centres, whose targets get no calls, at one version of the platform's
+/// store.
 ///
-/// Invariant: of two notices the one of the greater version is the truth; what was
-/// acknowledged at a version is in every notice of that version or a greater one.
+/// Invariant: of two states, the one with the greater version is valid. A change that the
+/// store acknowledged at a version is in every state of that or a greater version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationState {
-    /// Version of the store as it was read; zero before it was.
+    /// Version of the store when it was read; zero before the first read.
     pub version: u64,
-    /// The data centres.
+    /// The evacuated data centres.
     pub centres: BTreeSet<CentreName>,
 }
 
-/// What was read of the store.
+/// Result of reading the evacuations in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationUpdate {
-    /// All data centres that are evacuated.
+    /// All evacuated data centres.
     Snapshot(BTreeSet<CentreName>),
-    /// Each that changed since the last update, and whether it is evacuated now; the
-    /// latest change last.
+    /// Data centres that changed since the last read, and whether each is evacuated now;
+    /// the latest change is last.
     Changes(Vec<(CentreName, bool)>),
 }
 
-/// Bytes of names that one notice carries at most, since every message between daemons
-/// has it: some tens of data centres. Of more, the last in order are left out.
+/// Largest total size of the names in one state, in bytes.
+///
+/// Every gossip message carries the state, so it is limited to some tens of data centres;
+/// names over the limit are left out, the last in order first.
 const MAX_NAMES: usize = 512;
 
 impl EvacuationState {
-    /// Returns the bytes of the names, with the length of each.
+    /// Returns the encoded size of all names with their lengths, in bytes.
     #[must_use]
     pub fn encoded_size(&self) -> usize {
         self.centres.iter().map(name_size).sum()
     }
 
-    /// Takes what was read at a version of the store; `true` if a data centre is
-    /// evacuated now, or is no longer.
+    /// Applies what was read at a version of the store; returns whether the set of
+    /// evacuated data centres changed.
     pub fn apply(&mut self, version: u64, update: EvacuationUpdate) -> bool {
         let mut centres = self.centres.clone();
         match update {
-            EvacuationUpdate::Snapshot(whole) => centres = whole,
+            EvacuationUpdate::Snapshot(snapshot) => centres = snapshot,
             EvacuationUpdate::Changes(changes) => {
                 for (centre, evacuated) in changes {
                     if evacuated {
@@ -64,7 +66,8 @@
         self.merge(Self { version, centres })
     }
 
-    /// Takes another notice if it is newer; `true` if it says something else.
+    /// Takes over another state if it is newer; returns whether the set of evacuated data
+    /// centres changed.
     pub fn merge(&mut self, other: Self) -> bool {
         if other.version <= self.version {
             return false;
--- a/src/base/findings.rs
+++ b/src/base/findings.rs
@@ -1,20 +1,20 @@
-//! Faults in a file, collected with their places and reported together.
+//! Errors in input files, collected with their positions and reported together.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A place in a text file, counted from one.
+/// Position in a text file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct TextPosition {
-    /// Line, from 1.
+    /// Line, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
 }
 
 impl TextPosition {
-    /// Finds the place of a byte offset in `text`.
+    /// Returns the position of a byte offset in `text`.
     #[must_use]
     pub fn of(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
@@ -28,15 +28,15 @@
     }
 }
 
-/// One fault, and where it stands.
+/// One error in a file and its position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct FileFinding {
-    /// The file's name as the operator gave it.
+    /// Name of the file as the operator gave it.
     pub file: String,
-    /// Where in the file.
+    /// Position in the file.
     #[serde(rename = "place")]
     pub position: TextPosition,
-    /// What is wrong, and what would be right.
+    /// What is wrong and what is expected instead.
     pub text: String,
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// Every fault found; nothing was started or changed.
+/// All errors found; when it is returned, nothing was started or changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FindingList(pub Vec<FileFinding>);
 
 impl FindingList {
-    /// Makes the list of one fault that has no place in the file.
+    /// Returns a list of one error that concerns the file as a whole.
     pub(crate) fn of_file(file: &str, text: &str) -> Self {
         let position = TextPosition { line: 1, column: 1 };
         Self(vec![FileFinding { file: file.to_owned(), position, text: text.to_owned() }])
@@ -72,7 +72,7 @@
 
 impl std::error::Error for FindingList {}
 
-/// Returns the known name closest to `wrong`, if one is near.
+/// Returns the known name most similar to `wrong`, if any is similar enough to suggest.
 #[must_use]
 pub fn closest_name<'a>(wrong: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let limit = wrong.chars().count() / 2 + 1;
@@ -83,7 +83,7 @@
         .map(|(_, name)| name)
 }
 
-/// Counts the edits between two names (Levenshtein).
+/// Returns the Levenshtein distance between two names.
 fn distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/src/base/h2io.rs
+++ b/src/base/h2io.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies on `h2` streams.
+//! Message heads and bodies on HTTP/2 streams.
 
 use std::future::poll_fn;
 use std::io;
@@ -15,33 +15,33 @@
 use crate::base::consts::MAX_HEAD;
 use crate::base::wire::{self, WireError};
 
-/// Length of the number that precedes a head, in bytes.
+/// Size of the length field before a head, in bytes.
 const HEAD_LENGTH_BYTES: usize = 4;
 
-/// Receive window of one stream, in bytes.
+/// Flow-control window of one stream, in bytes.
 const STREAM_WINDOW: u32 = 1 << 20;
 
-/// Receive window of one connection, in bytes.
+/// Flow-control window of one connection, in bytes.
 const CONNECTION_WINDOW: u32 = 8 << 20;
 
-/// Streams that one connection carries at once.
+/// Largest number of concurrent streams on one connection.
 const MAX_STREAMS: u32 = 10_000;
 
-/// A stream that broke, or said something else than expected.
+/// Error while reading from or writing to a stream.
 #[derive(Debug, Snafu)]
 pub(crate) enum StreamError {
     /// The transport failed or the peer reset the stream.
     #[snafu(display("stream broken: {source}"))]
     Broken { source: h2::Error },
-    /// The stream ended too early.
-    #[snafu(display("stream ended early"))]
+    /// The stream ended before the message was complete.
+    #[snafu(display("stream ended before the message was complete"))]
     EndedEarly,
-    /// The head can't be read.
+    /// The head can't be decoded.
     #[snafu(display("{source}"))]
     Head { source: WireError },
 }
 
-/// Returns the settings of the serving side.
+/// Returns the settings of the server side of a connection.
 pub(crate) fn server() -> h2::server::Builder {
     let mut builder = h2::server::Builder::new();
     builder
@@ -51,7 +51,7 @@
     builder
 }
 
-/// Returns the settings of the asking side.
+/// Returns the settings of the client side of a connection.
 pub(crate) fn client() -> h2::client::Builder {
     let mut builder = h2::client::Builder::new();
     builder
@@ -62,12 +62,12 @@
     builder
 }
 
-/// Encodes a head with its length before it.
+/// Encodes a head, preceded by its length.
 pub(crate) fn encode_frame<T: Serialize>(head: &T) -> Result<Bytes, WireError> {
     encode_frame_with_body(head, &[])
 }
 
-/// Encodes a head with its length before it and a body behind it.
+/// Encodes a head, preceded by its length and followed by a body.
 pub(crate) fn encode_frame_with_body<T: Serialize>(
     head: &T,
     body: &[u8],
@@ -80,7 +80,7 @@
     Ok(framed.freeze())
 }
 
-/// Sends all bytes as the peer's window allows.
+/// Sends all bytes, as fast as the peer's window allows; `end` closes the stream after them.
 pub(crate) async fn send_all(
     stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Reads one head and the bytes behind it.
+/// Reads one head and the bytes that follow it.
 #[derive(Debug)]
 pub(crate) struct HeadReader {
     stream: RecvStream,
@@ -111,12 +111,12 @@
 }
 
 impl HeadReader {
-    /// Starts to read a stream.
+    /// Starts reading a stream.
     pub(crate) fn open(stream: RecvStream) -> Self {
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// Reads the head.
+    /// Reads and decodes the head.
     pub(crate) async fn head<T: DeserializeOwned>(&mut self) -> Result<T, StreamError> {
         self.fill(HEAD_LENGTH_BYTES).await?;
         let length = self.buffer.get_u32() as usize;
@@ -134,7 +134,7 @@
         Ok(self.buffer.split_to(length).freeze())
     }
 
-    /// Returns what was read too far, and the stream.
+    /// Returns the bytes received after those read, and the stream.
     pub(crate) fn into_parts(self) -> (Bytes, RecvStream) {
         (self.buffer.freeze(), self.stream)
     }
@@ -150,24 +150,25 @@
     }
 }
 
-/// Gives the sender its window back.
+/// Returns flow-control capacity to the sender for bytes that were received.
 pub(crate) fn release(stream: &mut RecvStream, length: usize) {
-    // Fails only on a stream that is closed already, where no window matters.
+    // Fails only on a closed stream, which needs no window.
     drop(stream.flow_control().release_capacity(length));
 }
 
-/// An `h2` stream as a byte stream, for codecs that want one.
+/// Adapts an HTTP/2 stream to [`AsyncRead`] and [`AsyncWrite`], for codecs that need these.
 #[derive(Debug)]
 pub(crate) struct ByteStream {
     send: SendStream<Bytes>,
     recv: RecvStream,
-    rest: Bytes,
+    /// Bytes received and not yet read.
+    unread: Bytes,
 }
 
 impl ByteStream {
-    /// Joins the two halves of a stream.
+    /// Joins the two directions of a stream.
     pub(crate) fn open(send: SendStream<Bytes>, recv: RecvStream) -> Self {
-        Self { send, recv, rest: Bytes::new() }
+        Self { send, recv, unread: Bytes::new() }
     }
 }
 
@@ -177,18 +178,18 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.rest.is_empty() {
+        if self.unread.is_empty() {
             match ready!(self.recv.poll_data(cx)) {
                 None => return Poll::Ready(Ok(())),
                 Some(Err(error)) => return Poll::Ready(Err(io::Error::other(error))),
                 Some(Ok(part)) => {
                     release(&mut self.recv, part.len());
-                    self.rest = part;
+                    self.unread = part;
                 }
             }
         }
-        let length = buf.remaining().min(self.rest.len());
-        let part = self.rest.split_to(length);
+        let length = buf.remaining().min(self.unread.len());
+        let part = self.unread.split_to(length);
         buf.put_slice(&part);
         Poll::Ready(Ok(()))
     }
--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify the parts of a fleet.
+//! Identifiers of hosts, services, targets, accounts, calls and daemons.
 
 use std::fmt;
 use std::sync::Arc;
@@ -35,32 +35,32 @@
 }
 
 name_type!(
-    /// The name of a host; one daemon runs on each.
+    /// Name of a host; each host runs one daemon.
     HostName
 );
 name_type!(
-    /// The name of a data centre.
+    /// Name of a data centre.
     CentreName
 );
 name_type!(
-    /// The name of a service that targets offer.
+    /// Name of a service that targets offer.
     ServiceName
 );
 name_type!(
-    /// The name of one target of a service.
+    /// Name of one target of a service.
     TargetName
 );
 name_type!(
-    /// The name of a client account.
+    /// Name of a client account.
     AccountName
 );
 
-/// One call as its entry numbered it; unique over the fleet's life.
+/// Random id that an entry gives to each attempt of a call; unique in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallId(pub u128);
 
 impl CallId {
-    /// Draws a new id.
+    /// Generates a new id.
     #[must_use]
     pub fn random() -> Self {
         Self(uuid::Uuid::new_v4().as_u128())
@@ -73,12 +73,12 @@
     }
 }
 
-/// One life of a daemon process; drawn anew at each start.
+/// Random number that a daemon generates at each start, to tell its processes apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DaemonIncarnation(pub u64);
 
 impl DaemonIncarnation {
-    /// Draws a new incarnation.
+    /// Generates a new incarnation.
     #[must_use]
     pub fn random() -> Self {
         Self(uuid::Uuid::new_v4().as_u64_pair().0)
--- a/src/base/lingering_socket.rs
+++ b/src/base/lingering_socket.rs
@@ -1,9 +1,9 @@
-//! A connection that is closed only once its other side has read what it was sent.
+//! Connection that is closed only after its peer could read the last answer.
 //!
-//! A close while bytes are unread resets the connection, and a reset may overtake an
-//! answer that was sent just before. Guards the answer to a request that is refused
-//! while its sender still writes, such as a 413: of 200 such callers, 16 at a time, one
-//! got a reset; one that reads nothing before it has written 4 MiB always did.
+//! Closing a socket with unread bytes resets the connection, and the reset may overtake an
+//! answer sent just before. This protects the answer to a request that is refused while
+//! the peer still sends it, such as a 413. Without it, one of 200 such callers, 16 at a
+//! time, got a reset; a caller that reads nothing before it has written 4 MiB always did.
 
 use std::io;
 use std::pin::Pin;
@@ -14,21 +14,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// Longest time for which a sender is heard out after the last answer.
+/// Longest time for which the socket reads from its peer after the last answer.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Most bytes that are read from it meanwhile: as many as a second brings of a link
-/// of 100 Mbit/s.
+/// Number of bytes read in that time at most: those that a link of 100 Mbit/s carries in
+/// one second.
 const LINGER_BYTES: usize = 12 << 20;
 
-/// A socket that hears its sender out when it is shut down.
+/// Socket that reads and discards what its peer still sends when it is shut down.
 pub(crate) struct LingeringSocket {
     socket: TcpStream,
-    /// Set once nothing more is written.
+    /// Set once the sending side is shut down.
     closing: Option<ClosingState>,
 }
 
-/// How long, and for how many bytes, a sender is still heard.
+/// Limits on what is still read from the peer.
 struct ClosingState {
     until: Pin<Box<Sleep>>,
     bytes_left: usize,
@@ -45,13 +45,13 @@
         Self { until: Box::pin(sleep(LINGER)), bytes_left: LINGER_BYTES }
     }
 
-    /// Reads what still comes, to its end or to a bound.
+    /// Reads and discards bytes until the peer closes or a limit is reached.
     fn poll_end(&mut self, socket: &mut TcpStream, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; 8 << 10];
         while self.bytes_left > 0 && self.until.as_mut().poll(cx).is_pending() {
             let mut buffer = ReadBuf::new(&mut space);
             let read = ready!(Pin::new(&mut *socket).poll_read(cx, &mut buffer));
-            // A sender that has gone, or broke off, waits for nothing more.
+            // A peer that closed or reset the connection waits for no answer.
             if read.is_err() || buffer.filled().is_empty() {
                 break;
             }
--- a/src/base/log.rs
+++ b/src/base/log.rs
@@ -1,8 +1,8 @@
-//! Structured logs: one JSON object a line, on standard output.
+//! Structured logs on standard output, one JSON object a line.
 //!
-//! A duty only appends to a buffer; a thread of its own writes it out. A full
-//! buffer drops lines and counts them, routine lines first, so that a slow
-//! reader never holds up a call.
+//! The duties append to a buffer that a separate thread writes out. When the buffer is
+//! full, lines are dropped and counted, those below warning level first, so that a slow
+//! reader of the log never delays a call.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -13,19 +13,19 @@
 
 use crate::base::metrics::DaemonMetrics;
 
-/// Bytes that wait to be written, at most; a burst's worth of a second or so.
-const MAX_WAITING: usize = 512 << 10;
+/// Capacity of the buffer, in bytes: about one second of a burst.
+const BUFFER_BYTES: usize = 512 << 10;
 
-/// Bytes up to which lines below a warning are taken.
-const MAX_ROUTINE: usize = MAX_WAITING / 2;
+/// Number of buffered bytes above which lines below warning level are dropped.
+const ROUTINE_BYTES: usize = BUFFER_BYTES / 2;
 
-/// Time over which lines are gathered into one write.
-const GATHER: Duration = Duration::from_millis(100);
+/// Time for which lines are collected into one write.
+const WRITE_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
 struct LogBuffer {
     bytes: Vec<u8>,
-    /// Lines dropped since the last write.
+    /// Number of lines dropped since the last write.
     dropped: u64,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Appends lines to the buffer.
+/// Appends log lines to the buffer.
 struct BufferDrain {
     shared: Arc<SharedBuffer>,
     dropped: IntCounter,
@@ -53,11 +53,11 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let mut line = Vec::with_capacity(256);
-        // Writing to memory can fail only on a value that can't be rendered.
+        // Writing to memory fails only on a value that can't be serialised.
         let rendered = slog_json::Json::default(&mut line).log(record, values).is_ok();
         let mut buffer = self.shared.lock();
         let routine = !record.level().is_at_least(Level::Warning);
-        let limit = if routine { MAX_ROUTINE } else { MAX_WAITING };
+        let limit = if routine { ROUTINE_BYTES } else { BUFFER_BYTES };
         if !rendered || buffer.bytes.len() + line.len() > limit {
             buffer.dropped += 1;
             self.dropped.inc();
@@ -73,49 +73,49 @@
     }
 }
 
-/// What still has to be written when the daemon ends.
+/// Writes the lines left in the buffer when the daemon ends.
 #[derive(Clone, Debug)]
 pub(crate) struct LogFlusher(Arc<SharedBuffer>);
 
 impl LogFlusher {
-    /// Writes the lines that were gathered last.
-    pub(crate) fn write(&self) {
-        write_gathered(&self.0);
+    /// Writes the buffered lines.
+    pub(crate) fn flush(&self) {
+        write_buffered(&self.0);
     }
 }
 
-/// Opens a logger that writes to standard output, and its tail.
+/// Opens a logger that writes to standard output, and its flusher.
 ///
 /// # Errors
 ///
-/// Fails when the writing thread can't be had.
+/// Fails when the writing thread can't be started.
 pub(crate) fn open(host: &str, metrics: &DaemonMetrics) -> io::Result<(Logger, LogFlusher)> {
     let shared: Arc<SharedBuffer> = Arc::default();
-    let (writer, tail) = (Arc::clone(&shared), LogFlusher(Arc::clone(&shared)));
-    std::thread::Builder::new().name("log".to_owned()).spawn(move || write_always(&writer))?;
+    let (writer, flusher) = (Arc::clone(&shared), LogFlusher(Arc::clone(&shared)));
+    std::thread::Builder::new().name("log".to_owned()).spawn(move || run_writer(&writer))?;
     let drain = BufferDrain { shared, dropped: metrics.log_dropped.clone() };
-    Ok((Logger::root(drain, o!("host" => host.to_owned())), tail))
+    Ok((Logger::root(drain, o!("host" => host.to_owned())), flusher))
 }
 
-/// Writes what was gathered, for as long as the process runs.
-fn write_always(shared: &SharedBuffer) {
+/// Writes buffered lines for as long as the process runs.
+fn run_writer(shared: &SharedBuffer) {
     loop {
         let mut buffer = shared.lock();
         while buffer.bytes.is_empty() {
             buffer = shared.wake.wait(buffer).unwrap_or_else(PoisonError::into_inner);
         }
         drop(buffer);
-        std::thread::sleep(GATHER);
-        write_gathered(shared);
+        std::thread::sleep(WRITE_DELAY);
+        write_buffered(shared);
     }
 }
 
-fn write_gathered(shared: &SharedBuffer) {
+fn write_buffered(shared: &SharedBuffer) {
     let LogBuffer { mut bytes, dropped } = std::mem::take(&mut *shared.lock());
     if dropped > 0 {
         let line = format!("{{\"msg\":\"log lines dropped\",\"count\":{dropped}}}\n");
         bytes.extend_from_slice(line.as_bytes());
     }
-    // Nobody may read; there is no other place to tell that.
+    // A failed write can't be reported: standard output is the only log.
     drop(io::stdout().write_all(&bytes));
 }
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of themselves and of one another.
+//! Membership records of daemons, and the gossip messages that carry them.
 
 use std::net::SocketAddr;
 
@@ -8,98 +8,99 @@
 use crate::base::ids::{CentreName, DaemonIncarnation, HostName, ServiceName, TargetName};
 use crate::base::suspect::SuspectUpdate;
 
-/// Buckets that full exchanges compare.
+/// Number of buckets by which full exchanges compare member records.
 pub const SYNC_BUCKETS: usize = 64;
 
-/// What others believe of a daemon, least certain of death first.
+/// Membership state of a daemon, in the order in which a state replaces another of the same
+/// record version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It answers.
+    /// The daemon answers.
     Alive,
-    /// It did not answer lately.
+    /// The daemon missed a probe and may have failed.
     Suspect,
-    /// It did not answer for long.
+    /// The daemon was suspected for too long without an answer.
     Dead,
-    /// It said good-bye.
+    /// The daemon announced that it leaves.
     Left,
 }
 
-/// One target as its daemon tells of it.
+/// One target as its daemon advertises it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvertisedTarget {
-    /// The service it offers.
+    /// Service that the target offers.
     pub service: ServiceName,
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Calls it runs at once.
+    /// Number of calls that the target runs at once.
     pub slots: u16,
-    /// Whether it takes new work.
+    /// Whether the target accepts new calls.
     pub ready: bool,
 }
 
-/// One daemon as the fleet knows it.
+/// Membership record of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its host; the record's key.
+    /// Host of the daemon; the key of the record.
     pub host: HostName,
-    /// The host's data centre.
+    /// Data centre of the host.
     pub data_centre: CentreName,
-    /// The life of the process.
+    /// Incarnation of the daemon.
     pub incarnation: DaemonIncarnation,
-    /// Grows with every change that the daemon itself makes.
+    /// Version, which the daemon itself increases with every change of the record.
     ///
-    /// Between two records of one host the greater version holds; at the same
-    /// version, the later state.
+    /// Of two records of one host, the one with the greater version is valid, then the one
+    /// with the greater state.
     pub version: u64,
-    /// What is believed of it.
+    /// Membership state of the daemon.
     pub state: MemberState,
-    /// Where its guard listens.
+    /// Address on which its guard accepts calls from entries.
     pub guard: SocketAddr,
-    /// Where it gossips and hands out what it knows.
+    /// Address for gossip and for exchanges with other daemons.
     pub peer: SocketAddr,
-    /// Where it takes calls.
+    /// Address on which its entry accepts calls from callers.
     pub caller: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// Its targets.
+    /// Targets of the daemon.
     pub targets: Vec<AdvertisedTarget>,
-    /// Revision in force there when the record was made.
+    /// Configuration revision in force at the daemon when it made the record.
     pub revision: u64,
-    /// Whether it could not reach the platform's store when it last tried.
+    /// Whether its last attempt to reach the platform's store failed.
     #[serde(default)]
     pub store_lost: bool,
 }
 
 impl MemberRecord {
-    /// Tells whether this record replaces `other` of the same host.
+    /// Returns whether this record replaces `other`, a record of the same host.
     pub(crate) fn supersedes(&self, other: &Self) -> bool {
         (self.version, self.state) > (other.version, other.state)
     }
 
-    /// Tells whether the daemon may serve.
+    /// Returns whether the daemon may be serving.
     #[must_use]
     pub fn is_up(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Tells whether it did not answer lately, and may be alive all the same.
+    /// Returns whether the daemon is suspected of having failed.
     pub(crate) fn is_suspect(&self) -> bool {
         self.state == MemberState::Suspect
     }
 
-    /// Tells whether its host is in a data centre.
+    /// Returns whether the host is in a data centre.
     pub(crate) fn is_in(&self, centre: &CentreName) -> bool {
         self.data_centre == *centre
     }
 
-    /// Returns the bucket that full exchanges count it in.
+    /// Returns the record's bucket in full exchanges.
     pub(crate) fn bucket(&self) -> usize {
         let hash = blake3::hash(self.host.as_str().as_bytes());
         usize::from(hash.as_bytes()[0]) % SYNC_BUCKETS
     }
 
-    /// Hashes what two daemons must agree on.
+    /// Returns a hash of the fields by which full exchanges detect differing records.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.host.as_str().as_bytes());
@@ -109,26 +110,27 @@
         u64::from_le_bytes(bytes.as_bytes()[..8].try_into().unwrap_or_default())
     }
 }
-/// What a gossip message asks or answers.
+
+/// Purpose of a gossip message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipKind {
-    /// Are you there?
+    /// Requests an [`Ack`](Self::Ack) from the receiver.
     Ping,
-    /// Ask this one for me.
+    /// Requests that the receiver pings another member for the sender.
     PingFor {
-        /// The suspected member.
+        /// Member to ping, which did not answer the sender.
         host: HostName,
-        /// Where it gossips.
+        /// Gossip address of that member.
         peer: SocketAddr,
     },
-    /// I am here.
+    /// Answers a [`Ping`](Self::Ping).
     Ack,
-    /// The one you asked for is there.
+    /// Reports that the member of a [`PingFor`](Self::PingFor) answered.
     AckFor {
         /// The member that answered.
         host: HostName,
     },
-    /// Only told, not asked: no answer is wanted.
+    /// Carries updates only and is not answered.
     Notice,
 }
 
@@ -137,34 +139,34 @@
 pub struct GossipMessage {
     /// The sender.
     pub from: HostName,
-    /// What it asks or answers.
+    /// Purpose of the message.
     pub kind: GossipKind,
-    /// The asker's number, for the answer.
+    /// Sequence number of a ping, repeated in its answer.
     pub number: u64,
-    /// The revision in force at the sender.
+    /// Configuration revision in force at the sender.
     pub revision: u64,
-    /// Hash over all the sender knows, to notice differences.
+    /// Hash over all member records of the sender, to detect differences.
     pub digest: u64,
-    /// The evacuations that the sender knows of: a few bytes, and none is so urgent that
-    /// it could wait for a question.
+    /// Evacuations known to the sender. Every message carries them: they are a few bytes,
+    /// and too urgent to be sent only on request.
     pub evacuation: EvacuationState,
-    /// Hash over the requests that reach no target at the sender, to notice differences.
+    /// Hash over the blamed requests known to the sender, to detect differences.
     pub blamed: u64,
-    /// What changed of suspected requests.
+    /// Crash records that changed.
     pub suspects: Vec<SuspectUpdate>,
-    /// Records that changed.
+    /// Member records that changed.
     pub updates: Vec<MemberRecord>,
 }
 
-/// The members at one moment.
+/// Snapshot of all members.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetView {
-    /// All members known, the own daemon included.
+    /// All known members, including the own daemon.
     pub members: Vec<MemberRecord>,
 }
 
 impl FleetView {
-    /// Returns the members that may serve.
+    /// Returns the members that may be serving.
     pub fn serving(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().filter(|member| member.is_up())
     }
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -1,8 +1,7 @@
-//! What every other folder may use: names, numbers and means without a decision.
+//! Types and utilities that all other folders may use, without any decision logic.
 //!
-//! Names and identities, clocks, figures that all daemons agree on, messages
-//! between daemons and what they carry, connections, metrics and logs. Nothing here
-//! imports another folder.
+//! Identifiers, time, limits shared by all daemons, messages between daemons and the
+//! records in them, connections, metrics and logs. Nothing here imports another folder.
 
 pub(crate) mod call_status;
 pub(crate) mod clock;
--- a/src/base/suspect.rs
+++ b/src/base/suspect.rs
@@ -1,72 +1,76 @@
-//! What daemons tell each other of requests that are suspected of ending targets.
+//! Crash records of requests that are suspected of crashing targets.
 
 use serde::{Deserialize, Serialize};
 
 use crate::base::digest::RequestDigest;
 
-/// Crashes in a chain after which a request reaches no target any more.
+/// Number of chained crashes after which a request is blamed: no daemon sends it to a
+/// target any more.
 ///
-/// The users' bound counts what arrives after the third. Two could be chance: a call
-/// that is tried again runs beside whatever ended its first target, which is tried
-/// again, too.
+/// Crashes are chained if each target crashed under a run that began when the crash before
+/// was known. The users' limit applies to copies that arrive after the third crash. Two
+/// crashes can be a coincidence: a retried call may run beside the request that crashed
+/// its first target, because that request is retried as well.
 pub const BLAMED_AFTER_CRASHES: u8 = 3;
 
-/// Crashes from which on a request runs alone of its kind at a target: what ends with it
-/// is then told from it by the next crash.
+/// Number of chained crashes from which on a request shares a target with no other request
+/// of that many crashes, so that the next crash shows which one is at fault.
 pub const RUNS_ALONE_AFTER_CRASHES: u8 = 2;
 
-/// What is known of one request's part in crashes.
+/// Crash record of one request.
 ///
-/// Of two records the greater holds: what was cleared later, then what crashed more.
+/// Of two records of a request the greater is valid: the one with more clearances, then
+/// the one with more crashes. The order of the fields implements that.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct SuspectRecord {
-    /// How often it was found innocent, or let through by an operator.
+    /// Number of times the request was cleared, by a run that its target answered or by an
+    /// operator.
     pub clearances: u32,
-    /// Crashes in a chain since then, up to [`BLAMED_AFTER_CRASHES`].
+    /// Chained crashes since the last clearance, at most [`BLAMED_AFTER_CRASHES`].
     pub crashes: u8,
 }
 
 impl SuspectRecord {
-    /// Tells whether a target ended under the request.
+    /// Returns whether a target crashed under the request.
     #[must_use]
     pub const fn is_suspected(self) -> bool {
         self.crashes > 0
     }
 
-    /// Tells whether only one such request at a time may run at a target.
+    /// Returns whether a target may run only one such request at a time.
     #[must_use]
     pub const fn runs_alone(self) -> bool {
         self.crashes >= RUNS_ALONE_AFTER_CRASHES
     }
 
-    /// Tells whether the request may reach no target.
+    /// Returns whether the request may not be sent to any target.
     #[must_use]
     pub const fn is_blamed(self) -> bool {
         self.crashes >= BLAMED_AFTER_CRASHES
     }
 
-    /// Returns the record after a target ended under a run that began with this one.
+    /// Returns the record after a target crashed under a run that began with this record.
     #[must_use]
     pub const fn after_crash(self) -> Self {
-        let more = self.crashes.saturating_add(1);
-        let crashes = if more > BLAMED_AFTER_CRASHES { BLAMED_AFTER_CRASHES } else { more };
+        let next = self.crashes.saturating_add(1);
+        let crashes = if next > BLAMED_AFTER_CRASHES { BLAMED_AFTER_CRASHES } else { next };
         Self { crashes, ..self }
     }
 
-    /// Returns the record after the request was found innocent.
+    /// Returns the record after the request was cleared.
     #[must_use]
     pub const fn after_clearance(self) -> Self {
         Self { clearances: self.clearances.saturating_add(1), crashes: 0 }
     }
 }
 
-/// What one daemon tells another of a request.
+/// Crash record of a request as daemons exchange and store it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectUpdate {
     /// The request.
     pub digest: RequestDigest,
-    /// What is known of it.
+    /// Its crash record.
     pub record: SuspectRecord,
 }
--- a/src/base/wire.rs
+++ b/src/base/wire.rs
@@ -1,4 +1,7 @@
-//! Messages between daemons and their encoding.
+//! Messages between daemons, and their encoding.
+//!
+//! The encoding is by position: the order and the types of fields and variants are part of
+//! the protocol, their names are not.
 
 use bincode::config::{Configuration, LittleEndian, Varint};
 use serde::de::DeserializeOwned;
@@ -14,21 +17,21 @@
 };
 use crate::base::suspect::SuspectRecord;
 
-/// A message that could not be encoded or decoded.
+/// Error while encoding or decoding a message.
 #[derive(Debug, Snafu)]
 pub enum WireError {
     /// The bytes are not a message of the expected kind.
     #[snafu(display("malformed message: {reason}"))]
     Malformed {
-        /// What the codec said.
+        /// Description of the error.
         reason: String,
     },
     /// The message is longer than its limit.
     #[snafu(display("message of {length} bytes is over the limit of {limit}"))]
     TooLong {
-        /// Length found, in bytes.
+        /// Length of the message, in bytes.
         length: usize,
-        /// Length allowed, in bytes.
+        /// Largest length allowed, in bytes.
         limit: usize,
     },
 }
@@ -51,11 +54,11 @@
     Ok(bytes)
 }
 
-/// Decodes a message that fills `bytes` whole.
+/// Decodes a message that takes up all of `bytes`.
 ///
 /// # Errors
 ///
-/// Fails on malformed bytes, on bytes left over, and over [`MAX_HEAD`].
+/// Fails when the bytes are malformed, extend beyond the message, or are over [`MAX_HEAD`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
     if bytes.len() > MAX_HEAD {
         return Err(WireError::TooLong { length: bytes.len(), limit: MAX_HEAD });
@@ -63,143 +66,146 @@
     let (message, used) = bincode::serde::decode_from_slice(bytes, FORMAT)
         .map_err(|error| WireError::Malformed { reason: error.to_string() })?;
     if used != bytes.len() {
-        return Err(WireError::Malformed { reason: "bytes left over".to_owned() });
+        return Err(WireError::Malformed { reason: "unexpected bytes after the end".to_owned() });
     }
     Ok(message)
 }
 
-/// The load of a target as its guard knows it when it speaks.
+/// Load of a target, as its guard knows it at the time of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls running in the target now. Exact: the guard is its only client.
+    /// Number of calls running in the target. Exact, since the guard is its only client.
     pub in_flight: u16,
-    /// Calls waiting at the guard.
+    /// Number of calls waiting at the guard.
     pub queued: u16,
-    /// Calls the target may run at once: its limit, at most its slots.
+    /// Number of calls that the target may run at once: its concurrency limit, which is at
+    /// most its slots.
     pub slots: u16,
-    /// Smoothed time the target takes for a call, in microseconds.
+    /// Smoothed service time of a call at the target, in microseconds.
     pub service_us: u32,
-    /// How long work takes at this moment, in percent of the usual; zero where
-    /// the target does not tell.
+    /// Time that work currently takes, in percent of the usual; zero if the target does not
+    /// report it.
     pub slowness: u16,
-    /// Smoothed share of failed answers, in thousandths.
+    /// Smoothed failure rate of answers, in thousandths.
     #[serde(rename = "failing")]
     pub failure_permille: u16,
-    /// Grows with every report of one guard incarnation.
+    /// Sequence number, which grows with every report of one guard incarnation.
     pub sequence: u64,
-    /// When the guard said it, by its own clock.
+    /// Time of the report, by the guard's clock.
     #[serde(rename = "told")]
     pub reported_at: MicroTime,
-    /// What a target that is cold may still be given; nothing where it is warm.
+    /// Calls that a cold target may still be given, or `None` if the target is warm.
     pub cold: Option<ColdAllowance>,
 }
 
-/// The room of a cold target, which bears few calls a second.
+/// Calls that a cold target may still be given; it can serve only a few a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdAllowance {
-    /// Calls that may begin at once.
+    /// Number of calls that may begin now.
     #[serde(rename = "now")]
     pub available: u16,
-    /// Time from then until one more may, in milliseconds.
+    /// Time from the start of these until one more may begin, in milliseconds.
     pub next_ms: u16,
 }
 
-/// How a call competes for a slot: urgent ones first, then by worth.
+/// Priority of a call among those waiting for a slot: urgent calls first, then by worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallPriority {
-    /// Whether the call goes ahead of all that are not urgent.
+    /// Whether the call goes before all calls that are not urgent.
     pub urgent: bool,
-    /// Stated worth, 1 to 100.
+    /// Worth as configured, from 1 to 100.
     pub worth: u8,
 }
 
-/// A claim that must be in the table before the call may be dispatched.
+/// Claim of an idempotency key, which the table must hold before the call is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// The row's key in the table: a hash over account, service and key.
+    /// Key of the claim's row in the table: a hash over account, service and idempotency key.
     pub row: String,
-    /// Hash of the request, to tell a repeat from another request.
+    /// Hash of the request, which tells a repeat from another request with the same key.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// Version of a row whose call is known not to have run, to take it over.
+    /// Version of the existing row to take over, whose call is known not to have run.
     pub takeover: Option<u64>,
 }
 
-/// What an entry sends ahead of a request body.
+/// Head of a call that an entry sends to a guard, followed by the request body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallHead {
-    /// The call; each attempt has an id of its own.
+    /// Id of the attempt.
     pub call: CallId,
-    /// The request that is tried.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// What the entry knows of the request's part in crashes.
+    /// Crash record of the request at the entry.
     pub suspect: SuspectRecord,
-    /// The guard life this attempt is for; any other must refuse it.
+    /// Incarnation of the guard that the attempt is meant for; any other must refuse it.
     pub incarnation: DaemonIncarnation,
-    /// The service called.
+    /// Service that is called.
     pub service: ServiceName,
-    /// The target chosen.
+    /// Target chosen by the entry.
     pub target: TargetName,
-    /// The client account that calls.
+    /// Client account of the caller.
     pub account: AccountName,
-    /// The account's share of a target, relative to the others'.
+    /// The account's share of a target, relative to the shares of other accounts.
     pub share: u16,
-    /// How the call competes for a slot.
+    /// Priority of the call among those waiting for a slot.
     pub priority: CallPriority,
-    /// Time left to the caller's deadline, in milliseconds.
+    /// Time left to the caller's deadline when the attempt was sent, in milliseconds.
     pub remaining_ms: u32,
-    /// When the entry sent it, by the guard's clock as far as the entry knows it:
-    /// what a held-up call lost on its way is no longer left to it.
+    /// Time at which the attempt was sent, by the entry's estimate of the guard's clock.
+    ///
+    /// The guard subtracts the time in transit from the time left to the deadline.
     pub sent: Option<MicroTime>,
     /// Longest time the call may wait for a slot, in milliseconds.
     #[serde(rename = "patience_ms")]
     pub max_wait_ms: u32,
-    /// Time a target at its usual speed takes, in microseconds; zero if unknown.
+    /// Time that a target at its usual speed takes for the call, in microseconds; zero if
+    /// unknown.
     pub work_us: u32,
-    /// Whether a call that was dropped may be cancelled at the target.
+    /// Whether the target may be made to cancel the call when the entry has dropped it.
     pub repeatable: bool,
     /// Whether the entry has no other target left to try.
     pub last: bool,
-    /// The claim to be made, for a call that carries an idempotency key.
+    /// Claim to make before the dispatch, if the call carries an idempotency key.
     pub claim: Option<KeyClaim>,
     /// HTTP method.
     pub method: String,
     /// Path and query at the target.
     pub path: String,
-    /// Request headers that travel on.
+    /// Request headers to forward to the target.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Length of the body that follows, in bytes.
+    /// Length of the request body that follows, in bytes.
     pub body_len: u32,
 }
 
-/// Why a guard did not run a call.
+/// Reason for which a guard did not run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The target's slots and its queue are full.
+    /// All slots and the queue of the target are full.
     Full,
     /// The deadline would pass before a slot is free.
     TooLate,
-    /// A call of greater worth took the place in the queue.
+    /// A call of higher priority took the place in the queue.
     Outranked,
-    /// The target's host is slower than usual at this moment.
+    /// The target's host is currently slower than usual.
     Slow,
-    /// The target is cold and was given all that it bears for now.
+    /// The target is cold and can serve no more calls for now.
     Cold,
     /// The target is leaving, or not ready yet.
     Leaving,
-    /// No such target here, or another life of this daemon.
+    /// The daemon has no such target, or is another incarnation than the call is meant for.
     Absent,
     /// The call was revoked before it was dispatched.
     Revoked,
     /// The target can't be reached.
     Unreachable,
-    /// The target had the call and says that it did not run it.
+    /// The target received the call and reports that it did not run it.
     Declined,
     /// The table did not accept the claim.
     PlatformDown,
-    /// The request breaks a rule of this protocol.
+    /// The message violates the protocol between daemons.
     Malformed,
-    /// Targets that ran the request ended.
+    /// The request crashes the targets that run it.
     EndsTargets,
 }
 
@@ -225,145 +231,146 @@
     }
 }
 
-/// What a guard sends ahead of an answer body.
+/// Head of the answer that a guard sends to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AnswerHead {
-    /// The target answered; its body follows.
+    /// The target answered; the body follows.
     Answered {
-        /// The call answered.
+        /// The attempt that was answered.
         call: CallId,
         /// HTTP status of the target.
         status: u16,
-        /// Answer headers that travel on.
+        /// Answer headers to forward to the caller.
         headers: Vec<(String, Vec<u8>)>,
-        /// Length of the body in bytes, where the target said it.
+        /// Length of the body in bytes, if the target sent it.
         length: Option<u64>,
-        /// Work that the target did for it, in microseconds at its usual speed.
+        /// Time that the call would have taken at the target's usual speed, in microseconds.
         work_us: u32,
-        /// Load after this call.
+        /// Load of the target after this call.
         load: LoadReport,
     },
     /// The call did not run and never will.
     Refused {
-        /// The call refused.
+        /// The attempt that was refused.
         call: CallId,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u32,
-        /// Load at the refusal.
+        /// Load of the target at the refusal.
         load: LoadReport,
-        /// What the guard knows of the request's part in crashes.
+        /// Crash record of the request at the guard.
         suspect: SuspectRecord,
     },
-    /// The call may have run; no answer can be had.
+    /// The call may have run, but the target gave no complete answer.
     Lost {
-        /// The call lost.
+        /// The attempt that was lost.
         call: CallId,
-        /// Load at the loss.
+        /// Load of the target at the loss.
         load: LoadReport,
-        /// What the guard knows of the request's part in crashes, this one included.
+        /// Crash record of the request at the guard, including this loss.
         suspect: SuspectRecord,
     },
     /// The idempotency key is claimed by an earlier call.
     Claimed {
-        /// The call that found the claim; it did not run.
+        /// The attempt that found the claim; it did not run.
         call: CallId,
-        /// The row found.
+        /// Row of the claim.
         row: Box<ClaimRow>,
-        /// The row's version.
+        /// Version of the row.
         version: u64,
     },
 }
 
-/// An entry asks a guard to stop a call it has not dispatched yet.
+/// Request of an entry to a guard not to dispatch a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevokeHead {
-    /// The call to stop.
+    /// The attempt to revoke.
     pub call: CallId,
-    /// The guard life the call was sent to.
+    /// Incarnation of the guard that the attempt was sent to.
     pub incarnation: DaemonIncarnation,
 }
 
-/// An entry asks a guard to keep telling a target's load.
+/// Request of an entry to a guard for a stream of a target's load reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchHead {
-    /// The service.
+    /// Service of the target.
     pub service: ServiceName,
-    /// The target watched.
+    /// Target to report on.
     pub target: TargetName,
-    /// The data centre of the entry.
+    /// Data centre of the entry.
     pub data_centre: CentreName,
 }
 
-/// A guard's answer to a revocation.
+/// Answer of a guard to a [`RevokeHead`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevokeReply {
-    /// What became of the call; final unless running.
+    /// Status of the call; final unless it is running.
     pub status: CallStatus,
 }
 
-/// A measuring message to a guard.
+/// Load probe that an entry sends to a guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRequest {
-    /// The guard life asked.
+    /// Incarnation of the guard that the probe is meant for.
     pub incarnation: DaemonIncarnation,
-    /// The service.
+    /// Service of the target.
     pub service: ServiceName,
-    /// The target measured.
+    /// Target to report on.
     pub target: TargetName,
 }
 
-/// A guard's answer to a measuring message.
+/// Answer of a guard to a [`ProbeRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeReply {
-    /// The service.
+    /// Service of the target.
     pub service: ServiceName,
-    /// The target measured.
+    /// Target that the report is on.
     pub target: TargetName,
-    /// Its load.
+    /// Load of the target.
     pub load: LoadReport,
 }
 
-/// An entry asks a daemon that holds an account's quota to let requests through.
+/// Request of an entry to a daemon that holds a part of an account's quota, to admit
+/// requests of the account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// The entry's number of the question, for the answer.
+    /// Sequence number, repeated in the reply.
     pub number: u64,
-    /// The account.
+    /// Account whose quota is requested.
     pub account: AccountName,
-    /// Requests that wait, and those that are expected next.
+    /// Number of requests that wait at the entry or are expected next.
     pub want: u16,
-    /// Whether the entry has run for a window of the quota or more.
+    /// Whether the entry has been running for at least one window of the quota.
     pub settled: bool,
 }
 
-/// The answer to a [`QuotaRequest`].
+/// Answer to a [`QuotaRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// The number of the question.
+    /// Sequence number of the request.
     pub number: u64,
-    /// Requests that the entry may let through.
+    /// Number of requests that the entry may admit.
     pub granted: u16,
-    /// When there is room again, if there is none now, in milliseconds; nothing where
-    /// the daemon holds no part of the quota.
+    /// Time until more requests can be granted, if none were, in milliseconds; `None` if the
+    /// daemon holds no part of the quota.
     pub wait_ms: Option<u32>,
 }
 
-/// A datagram to a guard.
+/// Datagram from an entry to a guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardDatagram {
-    /// Tell a target's load.
+    /// Requests the load of a target.
     Probe(ProbeRequest),
-    /// Grant a part of an account's quota.
+    /// Requests a grant from an account's quota.
     Quota(QuotaRequest),
 }
 
-/// A guard's answer to a datagram.
+/// Answer of a guard to a [`GuardDatagram`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardReply {
-    /// A target's load.
+    /// Answers [`GuardDatagram::Probe`].
     Probe(ProbeReply),
-    /// What is granted of a quota.
+    /// Answers [`GuardDatagram::Quota`].
     Quota(QuotaReply),
 }
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -47,7 +47,7 @@
     addresses: DaemonAddresses,
     stop: Option<oneshot::Sender<()>>,
     admin: JoinHandle<()>,
-    log_tail: LogFlusher,
+    log_flusher: LogFlusher,
 }
 
 impl RunningDaemon {
@@ -69,7 +69,7 @@
     pub fn wait(self) {
         // Fails only when the thread panicked, which was reported then.
         drop(self.admin.join());
-        self.log_tail.write();
+        self.log_flusher.flush();
     }
 }
 
@@ -113,7 +113,7 @@
 /// running then but threads that end with the process.
 pub fn spawn(settings: &DaemonSettings, parts: DaemonParts) -> Result<RunningDaemon, StartError> {
     let metrics = Arc::new(DaemonMetrics::open().context(MetricsSnafu)?);
-    let (logger, log_tail) = log::open(settings.host.as_str(), &metrics).context(ThreadSnafu)?;
+    let (logger, log_flusher) = log::open(settings.host.as_str(), &metrics).context(ThreadSnafu)?;
     let seed = settings.seed.unwrap_or_else(|| DaemonIncarnation::random().0);
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
@@ -219,7 +219,7 @@
     // Whoever is told where the daemon listens may signal to it. Fails only if the duty
     // ended, which the handle shows.
     _ = handles_signals.recv();
-    Ok(RunningDaemon { addresses, stop: Some(stop), admin, log_tail })
+    Ok(RunningDaemon { addresses, stop: Some(stop), admin, log_flusher })
 }
 
 fn own_record(settings: &DaemonSettings, addresses: &DaemonAddresses) -> MemberRecord {
