--- a/src/rules/account.rs
+++ b/src/rules/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: who they are, and what they set and may ask for.
+//! Client accounts: their tokens, quotas and parameters.
 
 use std::collections::HashMap;
 use std::sync::OnceLock;
@@ -9,40 +9,40 @@
 use crate::decide::quota::AccountQuota;
 use crate::rules::options::KindOptions;
 
-/// The parameters of one client account.
+/// Configuration of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountParameters {
-    /// The account.
+    /// Name of the account.
     pub name: AccountName,
-    /// BLAKE3 of the account's bearer token, in hexadecimal; an account without one makes
-    /// no requests.
+    /// BLAKE3 hash of the account's bearer token, in hexadecimal; an account without a token
+    /// can't make requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_blake3: Option<String>,
-    /// The same of its further tokens, all as good as the first.
+    /// Hashes of further tokens of the account, which are equivalent to the first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub more_tokens_blake3: Vec<String>,
-    /// Rank of its requests, where it goes before that of their routes.
+    /// Rank of the account's requests, which overrides the rank of their routes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<u8>,
-    /// Requests it may make, over all daemons together; any number where missing.
+    /// Quota of requests over all daemons together; unlimited if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<AccountQuota>,
-    /// The account's share of a busy target, relative to the others'.
+    /// Share of a busy target, relative to the shares of other accounts.
     #[serde(default = "default_share")]
     pub share: u16,
-    /// What the account sets differently from the templates.
+    /// Options that the account sets differently from the templates.
     #[serde(default)]
     pub parameters: Vec<KindParameters>,
 }
 
-/// What one account sets for one kind of request.
+/// Options that one account sets for one kind of request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindParameters {
-    /// The service.
+    /// Service of the kind.
     pub service: ServiceName,
-    /// The kind, as the template names it.
+    /// Name of the kind in the service's template.
     pub kind: String,
-    /// What is set.
+    /// Options set.
     #[serde(flatten)]
     pub options: KindOptions,
 }
@@ -52,21 +52,21 @@
 }
 
 impl AccountParameters {
-    /// Returns the digests of all tokens, in hexadecimal.
-    fn tokens(&self) -> impl Iterator<Item = &String> {
+    /// Returns the hashes of all tokens, in hexadecimal.
+    fn token_hashes(&self) -> impl Iterator<Item = &String> {
         self.token_blake3.iter().chain(&self.more_tokens_blake3)
     }
 }
 
-/// The account of each token, by the token's digest.
+/// Index of the accounts by the hashes of their tokens.
 ///
-/// How long a look-up takes tells something of the digest that was asked for at most,
-/// and who asks can't choose that.
+/// The time of a look-up reveals at most something about the hash of the token presented,
+/// and a caller can't choose that hash.
 #[derive(Clone, Debug, Default)]
 pub struct AccountIndex(OnceLock<HashMap<[u8; blake3::OUT_LEN], usize>>);
 
 impl PartialEq for AccountIndex {
-    /// It follows from the accounts, which are compared themselves.
+    /// Always equal: the index is derived from the accounts, which are compared themselves.
     fn eq(&self, _other: &Self) -> bool {
         true
     }
@@ -75,21 +75,21 @@
 impl Eq for AccountIndex {}
 
 impl AccountIndex {
-    /// Returns the place in `accounts` of the one that owns a token.
+    /// Returns the position in `accounts` of the owner of a token.
     pub(crate) fn of_token(&self, accounts: &[AccountParameters], token: &[u8]) -> Option<usize> {
-        let tokens = self.0.get_or_init(|| Self::build(accounts));
-        tokens.get(blake3::hash(token).as_bytes()).copied()
+        let owners = self.0.get_or_init(|| Self::build(accounts));
+        owners.get(blake3::hash(token).as_bytes()).copied()
     }
 
     fn build(accounts: &[AccountParameters]) -> HashMap<[u8; blake3::OUT_LEN], usize> {
-        let digests = accounts.iter().enumerate().flat_map(|(index, account)| {
-            account.tokens().map(move |token| (blake3::Hash::from_hex(token), index))
+        let hashes = accounts.iter().enumerate().flat_map(|(index, account)| {
+            account.token_hashes().map(move |hash| (blake3::Hash::from_hex(hash), index))
         });
-        digests.filter_map(|(digest, index)| Some((*digest.ok()?.as_bytes(), index))).collect()
+        hashes.filter_map(|(hash, index)| Some((*hash.ok()?.as_bytes(), index))).collect()
     }
 }
 
-/// Two accounts with one token; which of them a request is of can't be told.
+/// Two accounts with the same token, whose requests can't be told apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SharedToken<'a> {
     pub(crate) first: &'a AccountName,
@@ -100,8 +100,8 @@
 pub(crate) fn find_shared_token(accounts: &[AccountParameters]) -> Option<SharedToken<'_>> {
     let mut owners: HashMap<&str, &AccountName> = HashMap::new();
     for account in accounts {
-        for token in account.tokens() {
-            let earlier = owners.insert(token, &account.name);
+        for hash in account.token_hashes() {
+            let earlier = owners.insert(hash, &account.name);
             if let Some(first) = earlier.filter(|first| **first != account.name) {
                 return Some(SharedToken { first, second: &account.name });
             }
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -1,7 +1,6 @@
-//! Templates of services and parameters of client accounts.
+//! Configuration of a fleet, mainly templates of services and parameters of client accounts.
 //!
-//! This is what operators publish; one revision is in force in a daemon at a
-//! time.
+//! Operators publish it in revisions; one revision at a time is in force in a daemon.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -17,7 +16,7 @@
 use crate::rules::options::{CallOptions, HedgeRule, KindOptions};
 use crate::rules::route::{CallerLimits, ColdStart, HealthCheck, RouteIndex, RouteRule};
 
-/// Everything that one revision sets.
+/// Configuration that one revision sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetConfig {
     /// One template for each service.
@@ -26,54 +25,53 @@
     /// One set of parameters for each client account.
     #[serde(default)]
     pub accounts: Vec<AccountParameters>,
-    /// Where requests go that name no account, by host and path.
+    /// Routes by host and path, for deployments in which the path does not name the service.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<RouteRule>,
-    /// How the health of routed services' targets is asked for.
+    /// Health checks of the targets of routed services.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub checks: Vec<HealthCheck>,
-    /// How the targets of routed services start, where that is known.
+    /// Capacity of the targets of routed services after their start, where known.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cold_starts: Vec<ColdStart>,
-    /// What callers may send, and how long they may take.
+    /// Limits on what callers send and on the time they take.
     #[serde(default, skip_serializing_if = "CallerLimits::is_unset")]
     pub limits: CallerLimits,
-    /// Finds a request's route; made from `routes` when first asked, so these do
-    /// not change after that.
+    /// Index of `routes`, built at the first look-up; `routes` must not change after that.
     #[serde(skip)]
     pub route_index: RouteIndex,
-    /// Finds the account of a token, likewise.
+    /// Index of `accounts` by token, built at the first look-up like `route_index`.
     #[serde(skip)]
     pub account_index: AccountIndex,
 }
 
-/// The template of one service.
+/// Template of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTemplate {
-    /// The service; callers name it as the first part of the path.
+    /// Name of the service; callers give it as the first segment of the path.
     pub name: ServiceName,
-    /// Name of a registered selection policy.
+    /// Name of the selection policy that chooses among the service's targets.
     #[serde(default)]
     pub policy: Option<String>,
-    /// Time a call has, in milliseconds, unless it says otherwise.
+    /// Default time to the deadline of a call, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u32,
-    /// Kinds of request; the first that matches holds.
+    /// Kinds of request; the first that matches a request is used.
     #[serde(default)]
     pub kinds: Vec<RequestKind>,
 }
 
-/// One kind of request in a template.
+/// Kind of request in a template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestKind {
-    /// The kind's name, for parameters to refer to.
+    /// Name of the kind, to which the parameters of accounts refer.
     pub name: String,
-    /// HTTP method; any where missing.
+    /// HTTP method; any method if missing.
     #[serde(default)]
     pub method: Option<String>,
-    /// Start of the path.
+    /// Prefix of the path.
     pub path: String,
-    /// What an account that sets nothing gets.
+    /// Default options, for accounts that set none.
     #[serde(flatten)]
     pub options: KindOptions,
 }
@@ -87,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding, each with its place.
+    /// Returns all findings, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, FindingList> {
         Self::parse_all(&[(file.to_owned(), text.to_owned())])
     }
@@ -96,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding of every file.
+    /// Returns all findings of all files.
     pub fn parse_all(files: &[(String, String)]) -> Result<Self, FindingList> {
         let mut checked: Vec<CheckedFile<'_>> =
             files.iter().map(|(file, text)| CheckedFile::open(file, text, CONFIG_RULES)).collect();
@@ -105,12 +103,12 @@
         for (value, text) in values.iter().zip(&mut checked) {
             names.check(value, text);
         }
-        let mut whole = Self::default();
+        let mut config = Self::default();
         for ((_, text), checked) in files.iter().zip(&mut checked) {
-            whole.extend(read(text, checked));
+            config.extend(parse_checked(text, checked));
         }
         let findings: Vec<_> = checked.into_iter().flat_map(|text| text.findings).collect();
-        if findings.is_empty() { Ok(whole) } else { Err(FindingList(findings)) }
+        if findings.is_empty() { Ok(config) } else { Err(FindingList(findings)) }
     }
 
     fn extend(&mut self, part: Self) {
@@ -118,7 +116,7 @@
         self.accounts.extend(part.accounts);
     }
 
-    /// Returns a service's template.
+    /// Returns the template of a service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceTemplate> {
         self.services.iter().find(|service| service.name.as_str() == name)
@@ -130,7 +128,8 @@
         self.account_index.of_token(&self.accounts, token).map(|index| &self.accounts[index])
     }
 
-    /// Returns the terms of a call.
+    /// Returns the options of a call, from its account's parameters and its service's
+    /// template.
     #[must_use]
     pub fn call_options(
         &self,
@@ -146,21 +145,21 @@
             .iter()
             .find(|own| own.service == service.name && own.kind == name)
             .map(|own| &own.options);
-        let base = kind.map(|kind| &kind.options);
+        let template = kind.map(|kind| &kind.options);
         let safe = matches!(method, "GET" | "HEAD");
         let deadline_ms =
-            pick(own, base, |options| options.deadline_ms).unwrap_or(service.deadline_ms);
+            first_set(own, template, |options| options.deadline_ms).unwrap_or(service.deadline_ms);
         CallOptions {
             kind: name.to_owned(),
             priority: CallPriority {
-                urgent: pick(own, base, |options| options.urgent).unwrap_or(false),
-                worth: pick(own, base, |options| options.worth).unwrap_or(1),
+                urgent: first_set(own, template, |options| options.urgent).unwrap_or(false),
+                worth: first_set(own, template, |options| options.worth).unwrap_or(1),
             },
-            repeatable: pick(own, base, |options| options.repeatable).unwrap_or(safe),
+            repeatable: first_set(own, template, |options| options.repeatable).unwrap_or(safe),
             deadline_ms,
             objective_ms: deadline_ms,
             attempts: MAX_ATTEMPTS,
-            hedge: match pick(own, base, |options| options.hedge) {
+            hedge: match first_set(own, template, |options| options.hedge) {
                 Some(true) => HedgeRule::SlowCalls,
                 Some(false) | None => HedgeRule::Never,
             },
@@ -169,30 +168,31 @@
 }
 
 impl FleetConfig {
-    /// Returns the path at which a service's targets tell their health.
+    /// Returns the path of the health check of a service's targets.
     #[must_use]
     pub fn health_path(&self, service: &ServiceName) -> Option<&str> {
         let check = self.checks.iter().find(|check| check.service == *service);
         check.map(|check| check.path.as_str())
     }
 
-    /// Returns how the targets of a service start, where that is known.
+    /// Returns the capacity of a service's targets after their start, if known.
     #[must_use]
     pub fn cold_start(&self, service: &ServiceName) -> Option<&ColdStart> {
         self.cold_starts.iter().find(|start| start.service == *service)
     }
 
-    /// Tells whether the configuration names a service.
+    /// Returns whether the configuration contains a service.
     #[must_use]
     pub fn has_service(&self, service: &ServiceName) -> bool {
-        let routed = |route: &RouteRule| route.services.iter().any(|part| part.service == *service);
+        let routed =
+            |route: &RouteRule| route.services.iter().any(|weighted| weighted.service == *service);
         self.health_path(service).is_some()
             || self.cold_start(service).is_some()
             || self.service(service.as_str()).is_some()
             || self.routes.iter().any(routed)
     }
 
-    /// Returns the route of a request: the longest prefix of its host.
+    /// Returns the route of a request: the one of its host with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -203,7 +203,7 @@
 }
 
 impl ServiceTemplate {
-    /// Returns the policy that chooses among the service's targets.
+    /// Returns the policy that chooses among the service's targets, or the default policy.
     pub(crate) fn selection_policy(&self) -> &'static SelectionPolicy {
         let named = self.policy.as_deref().and_then(selection::policy);
         named.unwrap_or_else(selection::default_policy)
@@ -212,21 +212,23 @@
 
 impl RequestKind {
     fn matches(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.method.as_deref().is_none_or(|own| own == method);
-        method_fits && path.starts_with(&self.path)
+        let method_matches = self.method.as_deref().is_none_or(|own| own == method);
+        method_matches && path.starts_with(&self.path)
     }
 }
 
-fn pick<T>(
+/// Returns an option that the account set, or else the one of the template.
+fn first_set<T>(
     own: Option<&KindOptions>,
-    base: Option<&KindOptions>,
+    template: Option<&KindOptions>,
     field: impl Fn(&KindOptions) -> Option<T>,
 ) -> Option<T> {
-    own.and_then(&field).or_else(|| base.and_then(&field))
+    own.and_then(&field).or_else(|| template.and_then(&field))
 }
 
-/// Reads what can be read; most faults are the checker's to report.
-fn read(text: &str, checked: &mut CheckedFile<'_>) -> FleetConfig {
+/// Decodes a file; an error becomes a finding only if the checks found none, since they
+/// report most errors more precisely.
+fn parse_checked(text: &str, checked: &mut CheckedFile<'_>) -> FleetConfig {
     let options = jsonc_parser::ParseOptions::default();
     match jsonc_parser::parse_to_serde_value::<FleetConfig>(text, &options) {
         Ok(config) => config,
--- a/src/rules/config_checks.rs
+++ b/src/rules/config_checks.rs
@@ -1,5 +1,5 @@
-//! What files of templates and parameters may hold, and what spans several of their
-//! fields: doubles and dangling references.
+//! Schema of files of templates and parameters, and the checks that span several fields:
+//! duplicates and dangling references.
 
 use std::collections::HashSet;
 
@@ -76,16 +76,16 @@
     }
 }
 
-/// Reads a file loosely, so that one fault does not hide another.
+/// Parses a file without its schema, so that one error does not hide others.
 pub(crate) fn parse_leniently(text: &str) -> Value {
     let options = jsonc_parser::ParseOptions::default();
     jsonc_parser::parse_to_serde_value(text, &options).unwrap_or_default()
 }
 
-/// The names that all files together define.
+/// Names that all files together define.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigNames<'a> {
-    /// Kinds of each service; a service that stands twice has two lists.
+    /// Services with the names of their kinds; a duplicate service has two entries.
     services: Vec<(&'a str, Vec<&'a str>)>,
     accounts: Vec<&'a str>,
     tokens: Vec<&'a str>,
@@ -107,67 +107,67 @@
         names
     }
 
-    /// Checks what spans several fields: doubles and dangling references.
-    pub(crate) fn check(&self, value: &Value, text: &mut CheckedFile<'_>) {
+    /// Checks one file for duplicates and dangling references.
+    pub(crate) fn check(&self, value: &Value, file: &mut CheckedFile<'_>) {
         for (index, service) in items(value, "services").iter().enumerate() {
-            self.check_service(service, &format!("services[{index}]"), text);
+            self.check_service(service, &format!("services[{index}]"), file);
         }
         for (index, account) in items(value, "accounts").iter().enumerate() {
-            self.check_account(account, &format!("accounts[{index}]"), text);
+            self.check_account(account, &format!("accounts[{index}]"), file);
         }
     }
 
-    fn check_service(&self, service: &Value, path: &str, text: &mut CheckedFile<'_>) {
+    fn check_service(&self, service: &Value, path: &str, file: &mut CheckedFile<'_>) {
         let name = field(service, "name");
         if self.services.iter().filter(|(other, _)| *other == name).count() > 1 {
-            text.add_at(&format!("{path}.name"), &format!("service `{name}` stands twice"));
+            file.add_at(&format!("{path}.name"), &format!("duplicate service `{name}`"));
         }
         let policy = field(service, "policy");
         if !policy.is_empty() && selection::policy(policy).is_none() {
             let known = selection::policy_names().join(", ");
-            text.add_at(&format!("{path}.policy"), &format!("expected one of: {known}"));
+            file.add_at(&format!("{path}.policy"), &format!("expected one of: {known}"));
         }
         let mut seen = HashSet::new();
         for (index, kind) in items(service, "kinds").iter().enumerate() {
             let path = format!("{path}.kinds[{index}]");
             let name = field(kind, "name");
             if !seen.insert(name) {
-                text.add_at(&format!("{path}.name"), &format!("kind `{name}` stands twice"));
+                file.add_at(&format!("{path}.name"), &format!("duplicate kind `{name}`"));
             }
-            let start = field(kind, "path");
-            if !start.is_empty() && !start.starts_with('/') {
-                text.add_at(&format!("{path}.path"), "a path starts with `/`");
+            let prefix = field(kind, "path");
+            if !prefix.is_empty() && !prefix.starts_with('/') {
+                file.add_at(&format!("{path}.path"), "expected a path that starts with `/`");
             }
         }
     }
 
-    fn check_account(&self, account: &Value, path: &str, text: &mut CheckedFile<'_>) {
+    fn check_account(&self, account: &Value, path: &str, file: &mut CheckedFile<'_>) {
         let name = field(account, "name");
         if self.accounts.iter().filter(|other| **other == name).count() > 1 {
-            text.add_at(&format!("{path}.name"), &format!("account `{name}` stands twice"));
+            file.add_at(&format!("{path}.name"), &format!("duplicate account `{name}`"));
         }
         let token = field(account, "token_blake3");
         if self.tokens.iter().filter(|other| **other == token).count() > 1 {
-            let wrong = "another account has the same token";
-            text.add_at(&format!("{path}.token_blake3"), wrong);
+            let message = "another account has the same token";
+            file.add_at(&format!("{path}.token_blake3"), message);
         }
-        for (index, own) in items(account, "parameters").iter().enumerate() {
-            self.check_reference(own, &format!("{path}.parameters[{index}]"), text);
+        for (index, parameters) in items(account, "parameters").iter().enumerate() {
+            self.check_reference(parameters, &format!("{path}.parameters[{index}]"), file);
         }
     }
 
-    fn check_reference(&self, own: &Value, path: &str, text: &mut CheckedFile<'_>) {
-        let (service, kind) = (field(own, "service"), field(own, "kind"));
+    fn check_reference(&self, parameters: &Value, path: &str, file: &mut CheckedFile<'_>) {
+        let (service, kind) = (field(parameters, "service"), field(parameters, "kind"));
         let Some((_, kinds)) = self.services.iter().find(|(name, _)| *name == service) else {
             let known = self.services.iter().map(|(name, _)| *name);
             let hint = suggest_name(service, known);
-            text.add_at(&format!("{path}.service"), &format!("no template for `{service}`{hint}"));
+            file.add_at(&format!("{path}.service"), &format!("no template for `{service}`{hint}"));
             return;
         };
         if !kinds.contains(&kind) {
             let hint = suggest_name(kind, kinds.iter().copied());
-            let wrong = format!("service `{service}` has no kind `{kind}`{hint}");
-            text.add_at(&format!("{path}.kind"), &wrong);
+            let message = format!("service `{service}` has no kind `{kind}`{hint}");
+            file.add_at(&format!("{path}.kind"), &message);
         }
     }
 }
--- a/src/rules/file_schema.rs
+++ b/src/rules/file_schema.rs
@@ -1,4 +1,4 @@
-//! Checks JSON with comments against tables of fields.
+//! Validation of JSON files with comments against a schema of fields.
 
 use std::collections::HashMap;
 
@@ -8,61 +8,61 @@
 
 use crate::base::findings::{FileFinding, TextPosition, closest_name};
 
-/// One field that an object may have.
+/// Schema of one field of an object.
 #[derive(Debug)]
 pub(crate) struct FieldRule {
-    /// Key in the file.
+    /// Key of the field.
     pub(crate) name: &'static str,
-    /// What the value must be.
+    /// Type of the value.
     pub(crate) kind: FieldKind,
-    /// Whether the key must be there.
+    /// Whether the field must be present.
     pub(crate) required: bool,
 }
 
-/// What a value must be.
+/// Type of a value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FieldKind {
-    /// Text of 1 to this many bytes.
+    /// Text of 1 byte to the given number of bytes.
     Text(usize),
-    /// A name: letters, digits, `-`, `_`, `.`.
+    /// Name of letters, digits, `-`, `_` and `.`.
     Name,
-    /// An `IP:port` pair.
+    /// Address as `IP:port`.
     Address,
-    /// Hexadecimal digits, this many.
+    /// Given number of hexadecimal digits.
     Hex(usize),
-    /// A whole number in a closed range.
+    /// Whole number in a range that includes both bounds.
     Integer(u64, u64),
     /// `true` or `false`.
     Flag,
-    /// One of these words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
-    /// An object of these fields.
+    /// Object with the given fields.
     Object(&'static [FieldRule]),
-    /// A list of objects of these fields.
+    /// List of objects with the given fields.
     List(&'static [FieldRule]),
-    /// A list of `IP:port` pairs.
+    /// List of addresses as `IP:port`.
     Addresses,
 }
 
-/// A parsed file with its findings and the offsets of its values.
+/// Parsed file with its findings and the offsets of its values.
 #[derive(Debug)]
 pub(crate) struct CheckedFile<'a> {
     file: &'a str,
     text: &'a str,
-    /// Byte offsets by path, such as `services[2].name`.
+    /// Byte offsets of the values by their path, such as `services[2].name`.
     offsets: HashMap<String, usize>,
-    /// The faults found so far.
+    /// Errors found so far.
     pub(crate) findings: Vec<FileFinding>,
 }
 
 impl<'a> CheckedFile<'a> {
-    /// Parses `text` and checks it against `rules`.
+    /// Parses `text` and checks it against the schema `rules`.
     pub(crate) fn open(file: &'a str, text: &'a str, rules: &'static [FieldRule]) -> Self {
         let mut checked = Self { file, text, offsets: HashMap::new(), findings: Vec::new() };
         match parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()) {
             Err(error) => checked.add(error.range().start, &error.kind().to_string()),
             Ok(parsed) => match &parsed.value {
-                Some(Value::Object(object)) => checked.object(object, rules, ""),
+                Some(Value::Object(object)) => checked.check_object(object, rules, ""),
                 Some(other) => checked.add(other.start(), "expected an object"),
                 None => checked.add(0, "the file is empty; expected an object"),
             },
@@ -70,7 +70,7 @@
         checked
     }
 
-    /// Adds a finding at a path, or at the start where the path is unknown.
+    /// Adds a finding at a path, or at the start of the file if the path is unknown.
     pub(crate) fn add_at(&mut self, path: &str, text: &str) {
         let offset = self.offsets.get(path).copied().unwrap_or(0);
         self.add(offset, text);
@@ -84,20 +84,20 @@
         });
     }
 
-    fn object(&mut self, object: &Object<'_>, rules: &'static [FieldRule], path: &str) {
+    fn check_object(&mut self, object: &Object<'_>, rules: &'static [FieldRule], path: &str) {
         let mut seen: Vec<&str> = Vec::new();
         for property in &object.properties {
             let name = property.name.as_str();
             let rule = rules.iter().find(|rule| rule.name == name);
             if seen.contains(&name) {
-                self.add(property.start(), &format!("key `{name}` stands twice"));
+                self.add(property.start(), &format!("duplicate key `{name}`"));
             }
             match rule {
-                None => self.unknown(property.start(), name, rules),
+                None => self.add_unknown(property.start(), name, rules),
                 Some(rule) => {
                     seen.push(rule.name);
-                    let path = join(path, name);
-                    self.value(&property.value, rule.kind, &path);
+                    let path = join_path(path, name);
+                    self.check_value(&property.value, rule.kind, &path);
                 }
             }
         }
@@ -107,41 +107,43 @@
         }
     }
 
-    fn unknown(&mut self, offset: usize, name: &str, rules: &'static [FieldRule]) {
-        let hint = match closest_name(name, rules.iter().map(|rule| rule.name)) {
+    fn add_unknown(&mut self, offset: usize, name: &str, rules: &'static [FieldRule]) {
+        let message = match closest_name(name, rules.iter().map(|rule| rule.name)) {
             Some(known) => format!("unknown key `{name}`; did you mean `{known}`?"),
             None => format!("unknown key `{name}`"),
         };
-        self.add(offset, &hint);
+        self.add(offset, &message);
     }
 
-    fn value(&mut self, value: &Value<'_>, kind: FieldKind, path: &str) {
+    fn check_value(&mut self, value: &Value<'_>, kind: FieldKind, path: &str) {
         self.offsets.insert(path.to_owned(), value.start());
         match (kind, value) {
-            (FieldKind::Object(rules), Value::Object(object)) => self.object(object, rules, path),
+            (FieldKind::Object(rules), Value::Object(object)) => {
+                self.check_object(object, rules, path)
+            }
             (FieldKind::List(rules), Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let path = format!("{path}[{index}]");
-                    self.value(element, FieldKind::Object(rules), &path);
+                    self.check_value(element, FieldKind::Object(rules), &path);
                 }
             }
             (FieldKind::Addresses, Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let path = format!("{path}[{index}]");
-                    self.value(element, FieldKind::Address, &path);
+                    self.check_value(element, FieldKind::Address, &path);
                 }
             }
             _ => {
-                if let Some(wrong) = scalar_fault(kind, value) {
-                    self.add(value.start(), &wrong);
+                if let Some(message) = scalar_error(kind, value) {
+                    self.add(value.start(), &message);
                 }
             }
         }
     }
 }
 
-/// Returns what is wrong with a scalar, if anything is.
-fn scalar_fault(kind: FieldKind, value: &Value<'_>) -> Option<String> {
+/// Returns a message if a value that is not a list or an object has the wrong type.
+fn scalar_error(kind: FieldKind, value: &Value<'_>) -> Option<String> {
     let text = match value {
         Value::StringLit(literal) => Some(literal.value.as_ref()),
         _ => None,
@@ -150,7 +152,7 @@
         Value::NumberLit(literal) => literal.value.parse().ok(),
         _ => None,
     };
-    let (good, wanted) = match kind {
+    let (valid, expected) = match kind {
         FieldKind::Text(limit) => (
             text.is_some_and(|text| !text.is_empty() && text.len() <= limit),
             format!("text of 1 to {limit} bytes"),
@@ -168,9 +170,9 @@
             }),
             format!("{digits} hexadecimal digits"),
         ),
-        FieldKind::Integer(least, most) => (
-            number.is_some_and(|number: u64| (least..=most).contains(&number)),
-            format!("a whole number from {least} to {most}"),
+        FieldKind::Integer(min, max) => (
+            number.is_some_and(|number: u64| (min..=max).contains(&number)),
+            format!("a whole number from {min} to {max}"),
         ),
         FieldKind::Flag => (matches!(value, Value::BooleanLit(_)), "true or false".to_owned()),
         FieldKind::Choice(words) => (
@@ -180,7 +182,7 @@
         FieldKind::Object(_) => (false, "an object".to_owned()),
         FieldKind::List(_) | FieldKind::Addresses => (false, "a list".to_owned()),
     };
-    (!good).then(|| format!("expected {wanted}"))
+    (!valid).then(|| format!("expected {expected}"))
 }
 
 fn is_name(text: &str) -> bool {
@@ -188,11 +190,11 @@
     !text.is_empty() && text.len() <= 64 && text.bytes().all(allowed)
 }
 
-fn join(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// Returns the keys at the top of a file, for telling its kind.
+/// Returns the top-level keys of a file, by which its kind is recognised.
 pub(crate) fn top_keys(text: &str) -> Vec<String> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
     match parsed.map(|parsed| parsed.value) {
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,7 +1,7 @@
-//! What operators and callers may ask for: configuration, routes, revisions.
+//! Configuration of the fleet: services, client accounts, routes and revisions.
 //!
-//! Everything is checked when it is read; all findings are reported together,
-//! each with its place. A revision in force is never followed by an older one.
+//! Files are checked when they are read, and all findings are reported together, each with
+//! its position. A revision in force is never replaced by an older one.
 
 pub(crate) mod account;
 pub(crate) mod config;
--- a/src/rules/options.rs
+++ b/src/rules/options.rs
@@ -1,57 +1,58 @@
-//! The terms on which a call is served, whatever set them.
+//! Options of calls: priority, deadline, attempts and hedging.
 
 use serde::{Deserialize, Serialize};
 
 use crate::base::wire::CallPriority;
 
-/// Terms of a kind, as a template or an account sets them.
+/// Options of a kind of request, as a template or an account sets them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindOptions {
-    /// Whether calls go ahead of all that are not urgent.
+    /// Whether the calls go before all calls that are not urgent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub urgent: Option<bool>,
-    /// Worth, 1 to 100.
+    /// Worth, from 1 to 100.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub worth: Option<u8>,
-    /// Whether a call may run twice. If not, it needs an idempotency key.
+    /// Whether a call may run more than once; otherwise it needs an idempotency key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// Time a call has, in milliseconds.
+    /// Time to the deadline of a call, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u32>,
-    /// Whether a slow call gets a second try beside the first; only for
-    /// repeatable calls that make no calls of their own.
+    /// Whether a slow call is hedged by a second attempt; only for repeatable calls that make
+    /// no calls of their own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hedge: Option<bool>,
 }
 
-/// The terms on which one call is served.
+/// Options of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOptions {
-    /// Name of the kind, or `other`.
+    /// Name of the kind or route of the call, or `other` if its template has no such kind.
     pub kind: String,
-    /// How the call competes.
+    /// Priority of the call.
     pub priority: CallPriority,
-    /// Whether the call may run twice.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Time the call has, in milliseconds.
+    /// Time to the deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub objective_ms: u32,
-    /// Targets that one call may be sent to, at most.
+    /// Largest number of targets that the call may be sent to.
     pub attempts: u32,
-    /// Whether a slow call gets a second try beside the first.
+    /// When the call is hedged.
     pub hedge: HedgeRule,
 }
 
-/// Whether a slow call gets a second try beside the first.
+/// When a slow call is hedged by a second attempt beside the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeRule {
     /// Never.
     Never,
-    /// When it takes long for its target, from the budget of hedges.
+    /// When the call takes long compared with the usual service time of its target. The
+    /// attempt counts against the budget of hedges.
     SlowCalls,
-    /// While the second can still be within the latency objective, from the
-    /// budget of all further tries.
+    /// While a second attempt can still meet the latency objective. It counts against the
+    /// budget of all retries.
     WithinObjective,
 }
--- a/src/rules/revision.rs
+++ b/src/rules/revision.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force in a process.
+//! Revisions of the configuration, and the one in force in a process.
 
 use std::io::{self, Read};
 use std::sync::{Arc, OnceLock};
@@ -9,43 +9,45 @@
 
 use crate::rules::config::FleetConfig;
 
-/// Largest body taken from a peer, in bytes.
+/// Largest decompressed body accepted from a peer, in bytes.
 const MAX_BODY: u64 = 64 << 20;
 
-/// The head row: which body is the newest revision.
+/// Head of a revision; the head row in the table is that of the newest revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionHead {
-    /// Grows by one with each publish.
+    /// Number of the revision, which grows by one with each publish.
     pub revision: u64,
-    /// BLAKE3 of the body, in hexadecimal; the object's name.
+    /// BLAKE3 hash of the body, in hexadecimal; it is also the name of the stored object.
     pub hash: String,
-    /// The publish that made this head, to settle a lost answer.
+    /// Id of the publish that wrote this head, by which a publisher that got no answer finds
+    /// out whether its write took effect.
     pub publish: String,
-    /// Who published it.
+    /// Operator who published the revision.
     pub operator: String,
 }
 
-/// One revision as it is in force.
+/// Revision in force.
 #[derive(Clone, Debug)]
 pub struct ActiveRevision {
-    /// Its head.
+    /// Head of the revision.
     pub head: RevisionHead,
-    /// What it sets.
+    /// Decoded configuration.
     pub config: Arc<FleetConfig>,
-    /// The body as published, to hand to peers.
+    /// Body as published, to send to peers.
     pub body: Arc<[u8]>,
-    /// The body as it travels, made when a peer first asks for it.
+    /// Compressed body, made when a peer first requests it.
     compressed: Arc<OnceLock<Vec<u8>>>,
 }
 
 impl ActiveRevision {
-    /// Returns the body in as few bytes as can be had cheaply: they are paid for
-    /// between data centres, and the names in it repeat.
+    /// Returns the body, compressed at the lowest level.
+    ///
+    /// Traffic between data centres is charged for, and the body repeats many names.
     pub(crate) fn compressed_body(&self) -> &[u8] {
         self.compressed.get_or_init(|| {
             let mut compressed = Vec::new();
             let mut encoder = DeflateEncoder::new(&*self.body, Compression::fast());
-            // Reading from memory into memory does not fail.
+            // Compressing from memory to memory does not fail.
             if encoder.read_to_end(&mut compressed).is_err() {
                 compressed.clear();
             }
@@ -54,36 +56,39 @@
     }
 }
 
-/// Reads a body as it travelled.
+/// Decompresses a body.
+///
+/// A body over [`MAX_BODY`] is cut off there, so that its hash does not match its head.
 ///
 /// # Errors
 ///
-/// Fails on bytes that are no compressed body, and over [`MAX_BODY`].
+/// Fails when the bytes are not a compressed body.
 pub(crate) fn decompress(compressed: &[u8]) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     DeflateDecoder::new(compressed).take(MAX_BODY).read_to_end(&mut body)?;
     Ok(body)
 }
 
-/// Why a body was not adopted.
+/// Reason for which a body was not adopted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptError {
     /// The same or a newer revision is in force.
     Older,
-    /// The bytes are not those the head names.
+    /// The body's hash is not the one in the head.
     WrongHash,
-    /// The body can't be read.
+    /// The body can't be decoded.
     Unreadable,
 }
 
-/// The configuration of one process.
+/// Configuration state of one process.
 ///
-/// Invariant: the revision in force never falls; `wanted` is never below it.
+/// Invariant: the number of the revision in force never decreases, and `newest` is never
+/// older than it.
 #[derive(Debug, Default)]
 pub struct RevisionState {
     active: Option<ActiveRevision>,
-    /// The greatest head heard of.
-    wanted: Option<RevisionHead>,
+    /// Newest head seen so far.
+    newest: Option<RevisionHead>,
 }
 
 impl RevisionState {
@@ -93,33 +98,33 @@
         self.active.as_ref()
     }
 
-    /// Returns the number of the revision in force, or zero.
+    /// Returns the number of the revision in force, or zero if there is none.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.active.as_ref().map_or(0, |active| active.head.revision)
     }
 
-    /// Notes a head; `true` if it is newer than all heard before.
+    /// Notes a head; returns whether it is newer than all heads seen before.
     pub fn note_head(&mut self, head: &RevisionHead) -> bool {
-        let known = self.wanted.as_ref().map_or(0, |wanted| wanted.revision);
+        let known = self.newest.as_ref().map_or(0, |newest| newest.revision);
         let newer = head.revision > known;
         if newer {
-            self.wanted = Some(head.clone());
+            self.newest = Some(head.clone());
         }
         newer
     }
 
-    /// Returns the head whose body has to be fetched, if any.
+    /// Returns the newest head if its body is not in force yet.
     #[must_use]
     pub fn head_to_fetch(&self) -> Option<&RevisionHead> {
-        self.wanted.as_ref().filter(|wanted| wanted.revision > self.number())
+        self.newest.as_ref().filter(|newest| newest.revision > self.number())
     }
 
-    /// Puts a body in force if it is the one its head names, and newer.
+    /// Puts a body in force if its hash is the one in the head and its revision is newer.
     ///
     /// # Errors
     ///
-    /// Tells why the body was not adopted; nothing changes then.
+    /// Returns why the body was not adopted; nothing changes in that case.
     pub fn adopt(
         &mut self,
         head: &RevisionHead,
--- a/src/rules/route.rs
+++ b/src/rules/route.rs
@@ -1,4 +1,4 @@
-//! Routes of a deployment: where requests go by host and path.
+//! Routes of a deployment, which map requests to services by host and path.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -13,95 +13,95 @@
 use crate::base::wire::CallPriority;
 use crate::rules::options::{CallOptions, HedgeRule};
 
-/// Rank of a route from which on it is not urgent; zero is the most urgent.
+/// Lowest rank that is not urgent; rank zero is the most urgent.
 const FIRST_ROUTINE_RANK: u8 = 1;
 
-/// Worth of the most urgent rank, on the scale of [`CallPriority`].
+/// Worth of rank zero, on the scale of [`CallPriority`].
 const TOP_WORTH: u8 = 100;
 
-/// Requests that go to the same services on the same terms.
+/// Route of the requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRule {
-    /// The operator's name for it.
+    /// Name that the operator gave to the route.
     pub name: String,
-    /// Host that the request names, in lower case.
+    /// Host name in the request, in lower case.
     pub host: String,
-    /// Start of the path; the longest one of a host holds.
+    /// Prefix of the path; of several matching routes, the one with the longest is used.
     pub prefix: String,
-    /// Services that share the requests by weight; never empty.
+    /// Services among which the requests are split by weight; never empty.
     #[serde(rename = "targets")]
     pub services: Vec<WeightedService>,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Longest time a caller is kept waiting, in milliseconds.
+    /// Longest time for which a caller waits for an answer, in milliseconds.
     #[serde(default)]
     pub timeout_ms: Option<u32>,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency objective, in milliseconds.
     #[serde(default)]
     pub objective_ms: Option<u32>,
-    /// Rank among requests; zero is the most urgent.
+    /// Rank of the requests; zero is the most urgent.
     #[serde(default)]
     pub rank: u8,
-    /// Targets that one request may be sent to, at most.
+    /// Largest number of targets that one request may be sent to.
     #[serde(default)]
     pub attempts: Option<u32>,
-    /// Whether a request needs no account.
+    /// Whether requests need no account.
     #[serde(rename = "open", default, skip_serializing_if = "std::ops::Not::not")]
     pub public: bool,
 }
 
-/// A service's part of a route.
+/// Service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part, relative to the others'.
+    /// Share of the route's requests, relative to the weights of its other services.
     pub weight: u32,
 }
 
-/// How the health of a service's targets is asked for.
+/// Health check of a service's targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthCheck {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Path at its targets.
+    /// Path of the health check at the targets.
     pub path: String,
 }
 
-/// How the targets of a service start.
+/// Capacity of a service's targets after their start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
     /// Time for which a target is cold after its start, in milliseconds.
     pub lasts_ms: u32,
-    /// Calls that a cold target bears in a thousand seconds.
+    /// Number of calls that a cold target can serve in a thousand seconds.
     pub per_1000_s: u32,
 }
 
-/// What callers may send, and how long they may take; unset where unlimited.
+/// Limits on what callers send and on the time they take; `None` is unlimited.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Largest head of a request, in bytes.
     pub head_bytes: Option<u32>,
-    /// Longest body of a request, in bytes.
+    /// Largest body of a request, in bytes.
     pub body_bytes: Option<u64>,
-    /// Longest time over a request's head, in milliseconds.
+    /// Longest time for receiving the head of a request, in milliseconds.
     pub head_timeout_ms: Option<u32>,
-    /// Longest time a kept connection stays unused, in milliseconds.
+    /// Longest time for which a connection is kept open without a request, in milliseconds.
     pub idle_timeout_ms: Option<u32>,
 }
 
-/// The routes of each host, the longest prefix first.
+/// Index of the routes of each host, longest prefix first.
 ///
-/// An operator may have more than a thousand routes, and each request looks for
-/// its own.
+/// A linear search would be slow: an operator may have more than a thousand routes, and
+/// every request looks one up.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex(OnceLock<HashMap<String, Vec<usize>>>);
 
 impl PartialEq for RouteIndex {
-    /// It follows from the routes, which are compared themselves.
+    /// Always equal: the index is derived from the routes, which are compared themselves.
     fn eq(&self, _other: &Self) -> bool {
         true
     }
@@ -110,7 +110,7 @@
 impl Eq for RouteIndex {}
 
 impl RouteIndex {
-    /// Returns the places of a host's routes in `routes`.
+    /// Returns the positions in `routes` of the routes of a host.
     pub(crate) fn of_host(&self, routes: &[RouteRule], host: &str) -> &[usize] {
         let hosts = self.0.get_or_init(|| Self::build(routes));
         let found = hosts.get(host).or_else(|| hosts.get(&host.to_ascii_lowercase()));
@@ -122,8 +122,8 @@
         for (index, route) in routes.iter().enumerate() {
             hosts.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
-        for places in hosts.values_mut() {
-            places.sort_by_key(|index| Reverse(routes[*index].prefix.len()));
+        for indexes in hosts.values_mut() {
+            indexes.sort_by_key(|index| Reverse(routes[*index].prefix.len()));
         }
         hosts
     }
@@ -136,11 +136,13 @@
 }
 
 impl RouteRule {
-    /// Draws the service of one request, by weight: once for all its tries, so that what
-    /// one part has no room for is refused, not moved to another.
+    /// Chooses the service of a request at random, by weight.
+    ///
+    /// The choice is made once for all attempts of the request, so that a request for which
+    /// one service has no room is refused and not moved to another service.
     pub fn choose_service(&self, rng: &mut Pcg64Mcg) -> &ServiceName {
-        let whole: u64 = self.services.iter().map(|service| u64::from(service.weight)).sum();
-        let mut left = if whole == 0 { 0 } else { rng.random_range(0..whole) };
+        let total: u64 = self.services.iter().map(|service| u64::from(service.weight)).sum();
+        let mut left = if total == 0 { 0 } else { rng.random_range(0..total) };
         for service in &self.services {
             match left.checked_sub(u64::from(service.weight)) {
                 Some(rest) => left = rest,
@@ -150,12 +152,14 @@
         &self.services[0].service
     }
 
-    /// Returns the terms of a request that names `asked_ms` as its time; `rank` is that
-    /// of its account, where it has one of its own.
-    pub(crate) fn call_options(&self, asked_ms: Option<u32>, rank: Option<u8>) -> CallOptions {
+    /// Returns the options of a call.
+    ///
+    /// `requested_ms` is the time to the deadline that the caller requested, and `rank` that
+    /// of the account, if it has its own.
+    pub(crate) fn call_options(&self, requested_ms: Option<u32>, rank: Option<u8>) -> CallOptions {
         let rank = rank.unwrap_or(self.rank);
         let limit_ms = self.timeout_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
-        let deadline_ms = asked_ms.unwrap_or(limit_ms).min(limit_ms);
+        let deadline_ms = requested_ms.unwrap_or(limit_ms).min(limit_ms);
         let attempts = self.attempts.unwrap_or(MAX_ATTEMPTS);
         CallOptions {
             kind: self.name.clone(),
