--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! A load balancer for servers whose load shifts in milliseconds.
 //!
-//! One daemon runs beside each target host. Any daemon takes a call, chooses a
-//! target, and sends the call to the daemon beside it, which alone speaks to
-//! the target. Everything that decides is a kernel without I/O or clock; the
-//! threads around it only move bytes.
+//! One daemon runs on each host. A daemon has two parts that serve calls: the entry
+//! accepts a call from a caller, chooses a target, and sends the call to the guard on
+//! the target's host; the guard queues calls and is the only client of its target.
+//! All decisions are made in kernels, state machines without I/O or clock; the duties
+//! around them, which run on a thread each or on one for all, only move bytes.
 //!
 //! # Examples
 //!
