--- a/src/base/consts.rs
+++ b/src/base/consts.rs
@@ -57,7 +57,7 @@
 /// Interval between two gossip probes of one daemon.
 pub const GOSSIP_PERIOD: Duration = Duration::from_millis(500);
 
-/// Largest gossip datagram, in bytes: fits one Ethernet frame.
+/// Largest gossip datagram, in bytes; it fits into one Ethernet frame.
 pub const MAX_DATAGRAM: usize = 1_200;
 
 /// Time after which a suspected member that does not answer is declared dead, in gossip
--- a/src/base/evacuation.rs
+++ b/src/base/evacuation.rs
@@ -33,7 +33,7 @@
 ///
 /// Every gossip message carries the state, so it is limited to some tens of data centres;
 /// names over the limit are left out, the last in order first.
-const MAX_NAMES: usize = 512;
+const MAX_NAMES_BYTES: usize = 512;
 
 impl EvacuationState {
     /// Returns the encoded size of all names with their lengths, in bytes.
@@ -61,7 +61,7 @@
         let mut size = 0;
         centres.retain(|centre| {
             size += name_size(centre);
-            size <= MAX_NAMES
+            size <= MAX_NAMES_BYTES
         });
         self.merge(Self { version, centres })
     }
--- a/src/base/log.rs
+++ b/src/base/log.rs
@@ -63,10 +63,10 @@
             self.dropped.inc();
             return Ok(());
         }
-        let first = buffer.bytes.is_empty();
+        let was_empty = buffer.bytes.is_empty();
         buffer.bytes.extend_from_slice(&line);
         drop(buffer);
-        if first {
+        if was_empty {
             self.shared.wake.notify_one();
         }
         Ok(())
--- a/src/base/suspect.rs
+++ b/src/base/suspect.rs
@@ -13,8 +13,8 @@
 /// its first target, because that request is retried as well.
 pub const BLAMED_AFTER_CRASHES: u8 = 3;
 
-/// Number of chained crashes from which on a request shares a target with no other request
-/// of that many crashes, so that the next crash shows which one is at fault.
+/// Number of chained crashes from which on a target runs at most one such request at a time,
+/// so that the next crash shows which request is at fault.
 pub const RUNS_ALONE_AFTER_CRASHES: u8 = 2;
 
 /// Crash record of one request.
@@ -33,7 +33,7 @@
 }
 
 impl SuspectRecord {
-    /// Returns whether a target crashed under the request.
+    /// Returns whether a target crashed under the request since its last clearance.
     #[must_use]
     pub const fn is_suspected(self) -> bool {
         self.crashes > 0
--- a/src/base/wire.rs
+++ b/src/base/wire.rs
@@ -162,7 +162,8 @@
     /// Time that a target at its usual speed takes for the call, in microseconds; zero if
     /// unknown.
     pub work_us: u32,
-    /// Whether the target may be made to cancel the call when the entry has dropped it.
+    /// Whether the call may run more than once, and so may be cancelled at the target when the
+    /// entry drops it.
     pub repeatable: bool,
     /// Whether the entry has no other target left to try.
     pub last: bool,
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -81,7 +81,7 @@
 }
 
 impl FleetConfig {
-    /// Reads one file of templates and parameters.
+    /// Parses and checks one file of templates and parameters.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
         Self::parse_all(&[(file.to_owned(), text.to_owned())])
     }
 
-    /// Reads several files, as `(name, text)`, into one configuration.
+    /// Parses and checks several files, given as `(name, text)`, as one configuration.
     ///
     /// # Errors
     ///
@@ -100,14 +100,14 @@
             files.iter().map(|(file, text)| CheckedFile::open(file, text, CONFIG_RULES)).collect();
         let values: Vec<Value> = files.iter().map(|(_, text)| parse_leniently(text)).collect();
         let names = ConfigNames::collect(&values);
-        for (value, text) in values.iter().zip(&mut checked) {
-            names.check(value, text);
+        for (value, file) in values.iter().zip(&mut checked) {
+            names.check(value, file);
         }
         let mut config = Self::default();
-        for ((_, text), checked) in files.iter().zip(&mut checked) {
-            config.extend(parse_checked(text, checked));
+        for ((_, text), file) in files.iter().zip(&mut checked) {
+            config.extend(parse_checked(text, file));
         }
-        let findings: Vec<_> = checked.into_iter().flat_map(|text| text.findings).collect();
+        let findings: Vec<_> = checked.into_iter().flat_map(|file| file.findings).collect();
         if findings.is_empty() { Ok(config) } else { Err(FindingList(findings)) }
     }
 
@@ -143,8 +143,8 @@
         let own = account
             .parameters
             .iter()
-            .find(|own| own.service == service.name && own.kind == name)
-            .map(|own| &own.options);
+            .find(|parameters| parameters.service == service.name && parameters.kind == name)
+            .map(|parameters| &parameters.options);
         let template = kind.map(|kind| &kind.options);
         let safe = matches!(method, "GET" | "HEAD");
         let deadline_ms =
@@ -212,7 +212,7 @@
 
 impl RequestKind {
     fn matches(&self, method: &str, path: &str) -> bool {
-        let method_matches = self.method.as_deref().is_none_or(|own| own == method);
+        let method_matches = self.method.as_deref().is_none_or(|expected| expected == method);
         method_matches && path.starts_with(&self.path)
     }
 }
@@ -228,13 +228,13 @@
 
 /// Decodes a file; an error becomes a finding only if the checks found none, since they
 /// report most errors more precisely.
-fn parse_checked(text: &str, checked: &mut CheckedFile<'_>) -> FleetConfig {
+fn parse_checked(text: &str, file: &mut CheckedFile<'_>) -> FleetConfig {
     let options = jsonc_parser::ParseOptions::default();
     match jsonc_parser::parse_to_serde_value::<FleetConfig>(text, &options) {
         Ok(config) => config,
         Err(error) => {
-            if checked.findings.is_empty() {
-                checked.add_at("", &error.to_string());
+            if file.findings.is_empty() {
+                file.add_at("", &error.to_string());
             }
             FleetConfig::default()
         }
--- a/tests/crash_book.rs
+++ b/tests/crash_book.rs
@@ -8,7 +8,7 @@
 
 const DEADLY: RequestDigest = RequestDigest(7);
 
-fn notice(digest: u128, clearances: u32, crashes: u8) -> SuspectUpdate {
+fn update(digest: u128, clearances: u32, crashes: u8) -> SuspectUpdate {
     let record = SuspectRecord { clearances, crashes };
     SuspectUpdate { digest: RequestDigest(digest), record }
 }
@@ -20,11 +20,11 @@
         let run = TrackedRun { digest: *digest, began_with: book.standing(*digest) };
         roster.begin(CallId(number as u128), run);
     }
-    let notices = roster.end(MicroTime(0));
-    for notice in &notices {
-        book.learn(MicroTime(0), *notice);
+    let updates = roster.end(MicroTime(0));
+    for update in &updates {
+        book.learn(MicroTime(0), *update);
     }
-    notices
+    updates
 }
 
 #[test]
@@ -46,8 +46,8 @@
     let mut book = CrashBook::default();
     let before = book.clone();
     for _ in 0..20 {
-        let notices = crash(&mut before.clone(), &[DEADLY]);
-        book.learn(MicroTime(0), notices[0]);
+        let updates = crash(&mut before.clone(), &[DEADLY]);
+        book.learn(MicroTime(0), updates[0]);
     }
     assert_eq!(book.standing(DEADLY).crashes, 1);
 }
@@ -81,10 +81,10 @@
 #[test]
 fn a_flood_of_suspects_does_not_push_out_what_is_blamed() {
     let mut book = CrashBook::default();
-    book.learn(MicroTime(0), notice(DEADLY.0, 0, BLAMED_AFTER_CRASHES));
+    book.learn(MicroTime(0), update(DEADLY.0, 0, BLAMED_AFTER_CRASHES));
     let hash = book.blamed_hash();
     for number in 0..3 * MAX_SUSPECTS as u128 {
-        book.learn(MicroTime::from_millis(number as u64), notice(1_000 + number, 5, 1));
+        book.learn(MicroTime::from_millis(number as u64), update(1_000 + number, 5, 1));
     }
     assert!(book.len() <= MAX_SUSPECTS);
     assert!(book.standing(DEADLY).is_blamed());
@@ -106,9 +106,9 @@
     }
 }
 
-fn any_notice() -> impl Strategy<Value = SuspectUpdate> {
+fn any_update() -> impl Strategy<Value = SuspectUpdate> {
     (0..4_u128, 0..3_u32, 0..=BLAMED_AFTER_CRASHES)
-        .prop_map(|(digest, clearances, crashes)| notice(digest, clearances, crashes))
+        .prop_map(|(digest, clearances, crashes)| update(digest, clearances, crashes))
 }
 
 proptest! {
@@ -118,21 +118,21 @@
     /// number of times, leaves them with the same beliefs.
     #[test]
     fn order_and_repetition_make_no_difference(
-        notices in proptest::collection::vec(any_notice(), 0..20),
+        updates in proptest::collection::vec(any_update(), 0..20),
         again in proptest::collection::vec(0..20_usize, 0..20),
     ) {
         let mut one = CrashBook::default();
         let mut other = CrashBook::default();
-        for notice in &notices {
-            one.learn(MicroTime(0), *notice);
+        for update in &updates {
+            one.learn(MicroTime(0), *update);
         }
         for index in again {
-            if let Some(notice) = notices.get(index) {
-                other.learn(MicroTime(0), *notice);
+            if let Some(update) = updates.get(index) {
+                other.learn(MicroTime(0), *update);
             }
         }
-        for notice in notices.iter().rev() {
-            other.learn(MicroTime(0), *notice);
+        for update in updates.iter().rev() {
+            other.learn(MicroTime(0), *update);
         }
         prop_assert_eq!(one.notices(), other.notices());
         prop_assert_eq!(one.blamed_hash(), other.blamed_hash());
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -17,19 +17,19 @@
     names.iter().map(|name| CentreName::from(*name)).collect()
 }
 
-fn notice(version: u64, names: &[&str]) -> EvacuationState {
+fn state(version: u64, names: &[&str]) -> EvacuationState {
     EvacuationState { version, centres: centres(names) }
 }
 
 proptest! {
     #![proptest_config(seeded(300))]
 
-    /// Whatever comes late or twice, the newest notice is the one that is believed.
+    /// Whatever comes late or twice, the newest state is the one that is believed.
     #[test]
     fn the_newest_notice_holds(order in proptest::collection::vec(0_usize..6, 1..30)) {
         let all = [
-            notice(3, &[]), notice(5, &["a"]), notice(8, &["a", "b"]), notice(9, &["b"]),
-            notice(12, &[]), notice(20, &["a"]),
+            state(3, &[]), state(5, &["a"]), state(8, &["a", "b"]), state(9, &["b"]),
+            state(12, &[]), state(20, &["a"]),
         ];
         let mut believed = EvacuationState::default();
         for index in &order {
@@ -68,7 +68,7 @@
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
         network.cut = cut.then_some(count / 2);
-        network.step(address(count - 1), MembershipEvent::Evacuation(notice(7, &["centre-1"])));
+        network.step(address(count - 1), MembershipEvent::Evacuation(state(7, &["centre-1"])));
         network.run(3_000)?;
         let knows = |network: &FakeNetwork, version| {
             network.nodes.values().filter(|node| node.evacuation().version == version).count()
@@ -80,7 +80,7 @@
         network.start(count, 1_000);
         network.run(3_000)?;
         prop_assert_eq!(knows(&network, 7), count + 1);
-        network.step(address(0), MembershipEvent::Evacuation(notice(9, &[])));
+        network.step(address(0), MembershipEvent::Evacuation(state(9, &[])));
         network.run(3_000)?;
         prop_assert_eq!(knows(&network, 9), count + 1);
     }
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -47,7 +47,7 @@
     own
 }
 
-fn notice(index: usize, ready: bool) -> Vec<AdvertisedTarget> {
+fn advertised(index: usize, ready: bool) -> Vec<AdvertisedTarget> {
     let service: ServiceName = ["huvo11a", "tika04b", "mona77c"][index % 3].into();
     let name = format!("i-7f3a91{index:04x}").as_str().into();
     vec![AdvertisedTarget { service, name, slots: 9, ready }]
@@ -116,7 +116,7 @@
     }
 
     fn tell_target(&mut self, index: usize, ready: bool) {
-        let targets = notice(index, ready);
+        let targets = advertised(index, ready);
         let revision = 1;
         self.network.step(address(index), MembershipEvent::Local { targets, revision });
     }
@@ -147,7 +147,7 @@
     fn publish(&mut self, revision: u64, followers: &[usize]) -> EventCost {
         let (from, crossing) = (self.network.now_ms, self.network.crossing);
         for &index in followers {
-            let targets = notice(index, true);
+            let targets = advertised(index, true);
             self.network.step(address(index), MembershipEvent::Local { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own().revision == revision;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -54,10 +54,10 @@
     fn a_target_that_leaves_is_known_everywhere(count in 3_usize..24, seed: u64) {
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
-        let notice = |ready| vec![AdvertisedTarget { service: "s".into(), name: "t".into(), slots: 4, ready }];
-        network.step(address(0), MembershipEvent::Local { targets: notice(true), revision: 1 });
+        let advertised = |ready| vec![AdvertisedTarget { service: "s".into(), name: "t".into(), slots: 4, ready }];
+        network.step(address(0), MembershipEvent::Local { targets: advertised(true), revision: 1 });
         network.run(10_000)?;
-        network.step(address(0), MembershipEvent::Local { targets: notice(false), revision: 1 });
+        network.step(address(0), MembershipEvent::Local { targets: advertised(false), revision: 1 });
         network.run(10_000)?;
         for node in network.nodes.values() {
             let view = node.view();
