--- a/benches/capacity/members.rs
+++ b/benches/capacity/members.rs
@@ -88,7 +88,7 @@
         number,
         revision: 1,
         evacuation: railspan::EvacuationState::default(),
-        blamed: 0,
+        blamed_hash: 0,
         suspects: Vec::new(),
         digest: 0,
         updates: Vec::new(),
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -151,7 +151,8 @@
     /// and too urgent to be sent only on request.
     pub evacuation: EvacuationState,
     /// Hash over the blamed requests known to the sender, to detect differences.
-    pub blamed: u64,
+    #[serde(rename = "blamed")]
+    pub blamed_hash: u64,
     /// Crash records that changed.
     pub suspects: Vec<SuspectUpdate>,
     /// Member records that changed.
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -232,7 +232,7 @@
             revision: self.own.revision,
             digest: self.digest,
             evacuation: self.evacuation.clone(),
-            blamed: self.suspicions.blamed_hash(),
+            blamed_hash: self.suspicions.blamed_hash(),
             suspects: Vec::new(),
             updates,
         }
--- a/src/fleet/membership/reception.rs
+++ b/src/fleet/membership/reception.rs
@@ -25,10 +25,10 @@
     ) {
         let GossipMessage { from: sender, kind, number, revision, digest, evacuation, .. } =
             message;
-        let GossipMessage { blamed, suspects, updates, .. } = message;
+        let GossipMessage { blamed_hash, suspects, updates, .. } = message;
         self.merge_evacuation(evacuation, rng, out);
         self.merge_suspects(now, &suspects, false, rng, out);
-        self.compare_blamed(now, from, blamed, rng, out);
+        self.compare_blamed(now, from, blamed_hash, rng, out);
         let outdated = updates.iter().any(|record| self.is_outdated(&sender, record));
         let mut relayed = Vec::new();
         let crossed = self.crosses(&sender);
--- a/src/fleet/membership/suspicion.rs
+++ b/src/fleet/membership/suspicion.rs
@@ -136,11 +136,11 @@
         &mut self,
         now: MicroTime,
         from: SocketAddr,
-        blamed: u64,
+        blamed_hash: u64,
         rng: &mut Pcg64Mcg,
         out: &mut Vec<MembershipAction>,
     ) {
-        if blamed == self.suspicions.blamed_hash() || now < self.suspicions.next_answer {
+        if blamed_hash == self.suspicions.blamed_hash() || now < self.suspicions.next_answer {
             return;
         }
         self.suspicions.next_answer = now + COMPARED_EVERY;
--- a/src/rules/file_schema.rs
+++ b/src/rules/file_schema.rs
@@ -119,7 +119,7 @@
         self.offsets.insert(path.to_owned(), value.start());
         match (kind, value) {
             (FieldKind::Object(rules), Value::Object(object)) => {
-                self.check_object(object, rules, path)
+                self.check_object(object, rules, path);
             }
             (FieldKind::List(rules), Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -103,7 +103,7 @@
             revision: 0,
             evacuation: railspan::EvacuationState::default(),
             digest: 0,
-            blamed: 0,
+            blamed_hash: 0,
             suspects: Vec::new(),
             updates: Vec::new(),
         },
