--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::base::findings::FindingList;
 use crate::base::ids::{CentreName, HostName, ServiceName};
-use crate::rules::file_schema::{CheckedFile, FieldKind, FieldRule};
+use crate::rules::file_schema::{CheckedFile, FieldKind, FieldSchema};
 
 /// What a daemon learns from its settings file.
 #[derive(Clone, Debug, Deserialize)]
@@ -91,37 +91,37 @@
     20_000
 }
 
-const BUDGET_RULES: &[FieldRule] = &[
-    FieldRule { name: "messages_per_s", kind: FieldKind::Integer(0, 100_000), required: true },
-    FieldRule { name: "bytes_per_s", kind: FieldKind::Integer(0, 100_000_000), required: true },
+const BUDGET_RULES: &[FieldSchema] = &[
+    FieldSchema { name: "messages_per_s", kind: FieldKind::Integer(0, 100_000), required: true },
+    FieldSchema { name: "bytes_per_s", kind: FieldKind::Integer(0, 100_000_000), required: true },
 ];
 
-const DEPLOYMENT_RULES: &[FieldRule] = &[
-    FieldRule { name: "service", kind: FieldKind::Name, required: true },
-    FieldRule { name: "target_address", kind: FieldKind::Address, required: false },
-    FieldRule { name: "ready_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "control_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "crossing_cost", kind: FieldKind::Integer(0, 100_000), required: false },
-    FieldRule { name: "terms", kind: FieldKind::Text(4_000), required: true },
+const DEPLOYMENT_RULES: &[FieldSchema] = &[
+    FieldSchema { name: "service", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "target_address", kind: FieldKind::Address, required: false },
+    FieldSchema { name: "ready_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "control_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "crossing_cost", kind: FieldKind::Integer(0, 100_000), required: false },
+    FieldSchema { name: "terms", kind: FieldKind::Text(4_000), required: true },
 ];
 
-const RULES: &[FieldRule] = &[
-    FieldRule { name: "host", kind: FieldKind::Name, required: true },
-    FieldRule { name: "data_centre", kind: FieldKind::Name, required: true },
-    FieldRule { name: "caller_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "guard_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "peer_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "admin_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "advertised_guard_address", kind: FieldKind::Address, required: false },
-    FieldRule { name: "advertised_peer_address", kind: FieldKind::Address, required: false },
-    FieldRule { name: "platform_address", kind: FieldKind::Address, required: true },
-    FieldRule { name: "seeds", kind: FieldKind::Addresses, required: false },
-    FieldRule { name: "stop_bound_ms", kind: FieldKind::Integer(0, 600_000), required: false },
-    FieldRule { name: "probe_budget", kind: FieldKind::Object(BUDGET_RULES), required: false },
-    FieldRule { name: "one_thread", kind: FieldKind::Flag, required: false },
-    FieldRule { name: "first_start", kind: FieldKind::Flag, required: false },
-    FieldRule { name: "deployment", kind: FieldKind::Object(DEPLOYMENT_RULES), required: false },
-    FieldRule { name: "seed", kind: FieldKind::Integer(0, u64::MAX), required: false },
+const RULES: &[FieldSchema] = &[
+    FieldSchema { name: "host", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "data_centre", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "caller_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "guard_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "peer_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "admin_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "advertised_guard_address", kind: FieldKind::Address, required: false },
+    FieldSchema { name: "advertised_peer_address", kind: FieldKind::Address, required: false },
+    FieldSchema { name: "platform_address", kind: FieldKind::Address, required: true },
+    FieldSchema { name: "seeds", kind: FieldKind::Addresses, required: false },
+    FieldSchema { name: "stop_bound_ms", kind: FieldKind::Integer(0, 600_000), required: false },
+    FieldSchema { name: "probe_budget", kind: FieldKind::Object(BUDGET_RULES), required: false },
+    FieldSchema { name: "one_thread", kind: FieldKind::Flag, required: false },
+    FieldSchema { name: "first_start", kind: FieldKind::Flag, required: false },
+    FieldSchema { name: "deployment", kind: FieldKind::Object(DEPLOYMENT_RULES), required: false },
+    FieldSchema { name: "seed", kind: FieldKind::Integer(0, u64::MAX), required: false },
 ];
 
 impl DaemonSettings {
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -11,7 +11,7 @@
 use crate::base::wire::CallPriority;
 use crate::decide::selection::{self, SelectionPolicy};
 use crate::rules::account::{AccountIndex, AccountParameters};
-use crate::rules::config_checks::{CONFIG_RULES, ConfigNames, parse_leniently};
+use crate::rules::config_checks::{CONFIG_FIELDS, ConfigNames, parse_leniently};
 use crate::rules::file_schema::CheckedFile;
 use crate::rules::options::{CallOptions, HedgeRule, KindOptions};
 use crate::rules::route::{CallerLimits, ColdStart, HealthCheck, RouteIndex, RouteRule};
@@ -97,7 +97,7 @@
     /// Returns all findings of all files.
     pub fn parse_all(files: &[(String, String)]) -> Result<Self, FindingList> {
         let mut checked: Vec<CheckedFile<'_>> =
-            files.iter().map(|(file, text)| CheckedFile::open(file, text, CONFIG_RULES)).collect();
+            files.iter().map(|(file, text)| CheckedFile::open(file, text, CONFIG_FIELDS)).collect();
         let values: Vec<Value> = files.iter().map(|(_, text)| parse_leniently(text)).collect();
         let names = ConfigNames::collect(&values);
         for (value, file) in values.iter().zip(&mut checked) {
--- a/src/rules/config_checks.rs
+++ b/src/rules/config_checks.rs
@@ -8,69 +8,69 @@
 use crate::base::consts::MAX_DEADLINE_MS;
 use crate::base::findings::closest_name;
 use crate::decide::selection;
-use crate::rules::file_schema::{CheckedFile, FieldKind, FieldRule};
+use crate::rules::file_schema::{CheckedFile, FieldKind, FieldSchema};
 
-const OPTION_RULES: [FieldRule; 5] = [
-    FieldRule { name: "urgent", kind: FieldKind::Flag, required: false },
-    FieldRule { name: "worth", kind: FieldKind::Integer(1, 100), required: false },
-    FieldRule { name: "repeatable", kind: FieldKind::Flag, required: false },
-    FieldRule {
+const OPTION_FIELDS: [FieldSchema; 5] = [
+    FieldSchema { name: "urgent", kind: FieldKind::Flag, required: false },
+    FieldSchema { name: "worth", kind: FieldKind::Integer(1, 100), required: false },
+    FieldSchema { name: "repeatable", kind: FieldKind::Flag, required: false },
+    FieldSchema {
         name: "deadline_ms",
         kind: FieldKind::Integer(1, MAX_DEADLINE_MS as u64),
         required: false,
     },
-    FieldRule { name: "hedge", kind: FieldKind::Flag, required: false },
+    FieldSchema { name: "hedge", kind: FieldKind::Flag, required: false },
 ];
 
 const METHODS: &[&str] = &["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
 
-const KIND_RULES: &[FieldRule] = &[
-    FieldRule { name: "name", kind: FieldKind::Name, required: true },
-    FieldRule { name: "method", kind: FieldKind::Choice(METHODS), required: false },
-    FieldRule { name: "path", kind: FieldKind::Text(200), required: true },
-    OPTION_RULES[0].copy(),
-    OPTION_RULES[1].copy(),
-    OPTION_RULES[2].copy(),
-    OPTION_RULES[3].copy(),
-    OPTION_RULES[4].copy(),
+const KIND_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "name", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "method", kind: FieldKind::Choice(METHODS), required: false },
+    FieldSchema { name: "path", kind: FieldKind::Text(200), required: true },
+    OPTION_FIELDS[0].copy(),
+    OPTION_FIELDS[1].copy(),
+    OPTION_FIELDS[2].copy(),
+    OPTION_FIELDS[3].copy(),
+    OPTION_FIELDS[4].copy(),
 ];
 
-const SERVICE_RULES: &[FieldRule] = &[
-    FieldRule { name: "name", kind: FieldKind::Name, required: true },
-    FieldRule { name: "policy", kind: FieldKind::Name, required: false },
-    OPTION_RULES[3].copy(),
-    FieldRule { name: "kinds", kind: FieldKind::List(KIND_RULES), required: false },
+const SERVICE_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "name", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "policy", kind: FieldKind::Name, required: false },
+    OPTION_FIELDS[3].copy(),
+    FieldSchema { name: "kinds", kind: FieldKind::List(KIND_FIELDS), required: false },
 ];
 
-const PARAMETER_RULES: &[FieldRule] = &[
-    FieldRule { name: "service", kind: FieldKind::Name, required: true },
-    FieldRule { name: "kind", kind: FieldKind::Name, required: true },
-    OPTION_RULES[0].copy(),
-    OPTION_RULES[1].copy(),
-    OPTION_RULES[2].copy(),
-    OPTION_RULES[3].copy(),
-    OPTION_RULES[4].copy(),
+const PARAMETER_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "service", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "kind", kind: FieldKind::Name, required: true },
+    OPTION_FIELDS[0].copy(),
+    OPTION_FIELDS[1].copy(),
+    OPTION_FIELDS[2].copy(),
+    OPTION_FIELDS[3].copy(),
+    OPTION_FIELDS[4].copy(),
 ];
 
-const QUOTA_RULES: &[FieldRule] = &[
-    FieldRule { name: "per_1000_s", kind: FieldKind::Integer(1, 1_000_000_000), required: true },
-    FieldRule { name: "burst", kind: FieldKind::Integer(1, 1_000_000), required: true },
+const QUOTA_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "per_1000_s", kind: FieldKind::Integer(1, 1_000_000_000), required: true },
+    FieldSchema { name: "burst", kind: FieldKind::Integer(1, 1_000_000), required: true },
 ];
 
-const ACCOUNT_RULES: &[FieldRule] = &[
-    FieldRule { name: "name", kind: FieldKind::Name, required: true },
-    FieldRule { name: "token_blake3", kind: FieldKind::Hex(64), required: true },
-    FieldRule { name: "share", kind: FieldKind::Integer(1, 1_000), required: false },
-    FieldRule { name: "quota", kind: FieldKind::Object(QUOTA_RULES), required: false },
-    FieldRule { name: "parameters", kind: FieldKind::List(PARAMETER_RULES), required: false },
+const ACCOUNT_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "name", kind: FieldKind::Name, required: true },
+    FieldSchema { name: "token_blake3", kind: FieldKind::Hex(64), required: true },
+    FieldSchema { name: "share", kind: FieldKind::Integer(1, 1_000), required: false },
+    FieldSchema { name: "quota", kind: FieldKind::Object(QUOTA_FIELDS), required: false },
+    FieldSchema { name: "parameters", kind: FieldKind::List(PARAMETER_FIELDS), required: false },
 ];
 
-pub(crate) const CONFIG_RULES: &[FieldRule] = &[
-    FieldRule { name: "services", kind: FieldKind::List(SERVICE_RULES), required: false },
-    FieldRule { name: "accounts", kind: FieldKind::List(ACCOUNT_RULES), required: false },
+pub(crate) const CONFIG_FIELDS: &[FieldSchema] = &[
+    FieldSchema { name: "services", kind: FieldKind::List(SERVICE_FIELDS), required: false },
+    FieldSchema { name: "accounts", kind: FieldKind::List(ACCOUNT_FIELDS), required: false },
 ];
 
-impl FieldRule {
+impl FieldSchema {
     const fn copy(&self) -> Self {
         Self { name: self.name, kind: self.kind, required: self.required }
     }
--- a/src/rules/file_schema.rs
+++ b/src/rules/file_schema.rs
@@ -10,7 +10,7 @@
 
 /// Schema of one field of an object.
 #[derive(Debug)]
-pub(crate) struct FieldRule {
+pub(crate) struct FieldSchema {
     /// Key of the field.
     pub(crate) name: &'static str,
     /// Type of the value.
@@ -37,9 +37,9 @@
     /// One of the given words.
     Choice(&'static [&'static str]),
     /// Object with the given fields.
-    Object(&'static [FieldRule]),
+    Object(&'static [FieldSchema]),
     /// List of objects with the given fields.
-    List(&'static [FieldRule]),
+    List(&'static [FieldSchema]),
     /// List of addresses as `IP:port`.
     Addresses,
 }
@@ -56,13 +56,13 @@
 }
 
 impl<'a> CheckedFile<'a> {
-    /// Parses `text` and checks it against the schema `rules`.
-    pub(crate) fn open(file: &'a str, text: &'a str, rules: &'static [FieldRule]) -> Self {
+    /// Parses `text` and checks it against the schema `fields`.
+    pub(crate) fn open(file: &'a str, text: &'a str, fields: &'static [FieldSchema]) -> Self {
         let mut checked = Self { file, text, offsets: HashMap::new(), findings: Vec::new() };
         match parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()) {
             Err(error) => checked.add(error.range().start, &error.kind().to_string()),
             Ok(parsed) => match &parsed.value {
-                Some(Value::Object(object)) => checked.check_object(object, rules, ""),
+                Some(Value::Object(object)) => checked.check_object(object, fields, ""),
                 Some(other) => checked.add(other.start(), "expected an object"),
                 None => checked.add(0, "the file is empty; expected an object"),
             },
@@ -84,31 +84,31 @@
         });
     }
 
-    fn check_object(&mut self, object: &Object<'_>, rules: &'static [FieldRule], path: &str) {
+    fn check_object(&mut self, object: &Object<'_>, fields: &'static [FieldSchema], path: &str) {
         let mut seen: Vec<&str> = Vec::new();
         for property in &object.properties {
             let name = property.name.as_str();
-            let rule = rules.iter().find(|rule| rule.name == name);
+            let field = fields.iter().find(|field| field.name == name);
             if seen.contains(&name) {
                 self.add(property.start(), &format!("duplicate key `{name}`"));
             }
-            match rule {
-                None => self.add_unknown(property.start(), name, rules),
-                Some(rule) => {
-                    seen.push(rule.name);
+            match field {
+                None => self.add_unknown(property.start(), name, fields),
+                Some(field) => {
+                    seen.push(field.name);
                     let path = join_path(path, name);
-                    self.check_value(&property.value, rule.kind, &path);
+                    self.check_value(&property.value, field.kind, &path);
                 }
             }
         }
-        let missing = rules.iter().filter(|rule| rule.required && !seen.contains(&rule.name));
-        for rule in missing {
-            self.add(object.start(), &format!("key `{}` is missing", rule.name));
+        let missing = fields.iter().filter(|field| field.required && !seen.contains(&field.name));
+        for field in missing {
+            self.add(object.start(), &format!("key `{}` is missing", field.name));
         }
     }
 
-    fn add_unknown(&mut self, offset: usize, name: &str, rules: &'static [FieldRule]) {
-        let message = match closest_name(name, rules.iter().map(|rule| rule.name)) {
+    fn add_unknown(&mut self, offset: usize, name: &str, fields: &'static [FieldSchema]) {
+        let message = match closest_name(name, fields.iter().map(|field| field.name)) {
             Some(known) => format!("unknown key `{name}`; did you mean `{known}`?"),
             None => format!("unknown key `{name}`"),
         };
@@ -118,13 +118,13 @@
     fn check_value(&mut self, value: &Value<'_>, kind: FieldKind, path: &str) {
         self.offsets.insert(path.to_owned(), value.start());
         match (kind, value) {
-            (FieldKind::Object(rules), Value::Object(object)) => {
-                self.check_object(object, rules, path);
+            (FieldKind::Object(fields), Value::Object(object)) => {
+                self.check_object(object, fields, path);
             }
-            (FieldKind::List(rules), Value::Array(array)) => {
+            (FieldKind::List(fields), Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let path = format!("{path}[{index}]");
-                    self.check_value(element, FieldKind::Object(rules), &path);
+                    self.check_value(element, FieldKind::Object(fields), &path);
                 }
             }
             (FieldKind::Addresses, Value::Array(array)) => {
