--- a/benches/capacity/members.rs
+++ b/benches/capacity/members.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use railspan::{
-    DaemonIncarnation, GossipKind, GossipMessage, MemberRecord, MemberState, MembershipAction,
-    MembershipEvent, MembershipState, MicroTime, TargetNotice, encode,
+    AdvertisedTarget, DaemonIncarnation, GossipKind, GossipMessage, MemberRecord, MemberState,
+    MembershipAction, MembershipEvent, MembershipState, MicroTime, encode,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -34,7 +34,7 @@
     let others: Vec<MemberRecord> = (1..size).map(record).collect();
     let exchange: usize =
         others.iter().filter_map(|record| encode(record).ok()).map(|b| b.len()).sum();
-    state.step(MicroTime(0), MembershipEvent::Learn(others), &mut rng, &mut out);
+    state.step(MicroTime(0), MembershipEvent::RecordsReceived(others), &mut rng, &mut out);
     let memory = (super::usage::read(std::process::id()).memory_mib - before) * 1_024.0;
 
     // The first periods spread the news of everybody; then it is calm.
@@ -87,8 +87,8 @@
         kind: GossipKind::Ping,
         number,
         revision: 1,
-        evacuation: railspan::EvacuationNotice::default(),
-        blamed: 0,
+        evacuation: railspan::EvacuationState::default(),
+        blamed_hash: 0,
         suspects: Vec::new(),
         digest: 0,
         updates: Vec::new(),
@@ -120,7 +120,7 @@
         peer: address(index),
         caller: address(index),
         admin: address(index),
-        targets: vec![TargetNotice {
+        targets: vec![AdvertisedTarget {
             service: service.as_str().into(),
             name: format!("{service}-target-{index:04}").as_str().into(),
             slots: 12,
--- a/src/command/cli.rs
+++ b/src/command/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: its subcommands, and the end of each.
+//! Subcommands of the operators' command line, their output and exit codes.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 use crate::command::drain::DrainOptions;
 use crate::command::dump::DumpOptions;
 use crate::command::forgive::ForgiveOptions;
-use crate::command::output::{CommandEnd, CommandOutput};
+use crate::command::output::{CommandExit, CommandOutput};
 use crate::command::publish::PublishOptions;
 use crate::command::status::StatusOptions;
 use crate::command::targets::TargetsOptions;
@@ -29,25 +29,26 @@
 
 #[derive(Debug, Options)]
 enum OperatorCommand {
-    #[options(help = "check files of templates or settings")]
+    #[options(help = "check template or settings files")]
     Check(CheckOptions),
     #[options(help = "check templates and publish them as the next revision")]
     Publish(PublishOptions),
-    #[options(help = "tell which revision is in force where, and which hosts differ")]
+    #[options(help = "show which revision is active, and which hosts differ")]
     Status(StatusOptions),
     #[options(help = "print the state of one daemon")]
     Dump(DumpOptions),
-    #[options(help = "send a target no new work, or take that back")]
+    #[options(help = "stop sending new calls to a target, or undo that")]
     Drain(DrainOptions),
-    #[options(help = "let a request reach targets again that ended some")]
+    #[options(help = "unblock a request that is blamed for crashing targets")]
     Forgive(ForgiveOptions),
-    #[options(help = "tell how many targets each service has, and list them")]
+    #[options(help = "show how many targets each service has, and list them")]
     Targets(TargetsOptions),
-    #[options(help = "tell the story of one request from daemons' logs")]
+    #[options(help = "show what the daemons' logs contain about one request")]
     Trace(TraceOptions),
 }
 
-/// Runs the command that the process was started with.
+/// Parses the process arguments, runs the command, prints its output, and returns the exit
+/// code.
 #[must_use]
 pub fn run_command() -> ExitCode {
     let options = CommandOptions::parse_args_default_or_exit();
@@ -58,18 +59,18 @@
     let Some(command) = options.command else {
         eprintln!("expected a command\n\n{}", CommandOptions::usage());
         eprintln!("\nCommands:\n{}", OperatorCommand::usage());
-        return ExitCode::from(CommandEnd::BadInput as u8);
+        return ExitCode::from(CommandExit::BadInput as u8);
     };
     let output = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(execute(command)),
-        Err(error) => CommandOutput::new(CommandEnd::Unreachable, error.to_string()),
+        Err(error) => CommandOutput::new(CommandExit::Unreachable, error.to_string()),
     };
-    if output.end == CommandEnd::Done {
+    if output.exit == CommandExit::Success {
         println!("{}", output.text);
     } else {
         eprintln!("{}", output.text);
     }
-    ExitCode::from(output.end as u8)
+    ExitCode::from(output.exit as u8)
 }
 
 async fn execute(command: OperatorCommand) -> CommandOutput {
--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -171,7 +171,7 @@
     /// Returns a load report with a new sequence number, for the next message to an entry.
     pub fn next_report(&mut self, now: MicroTime) -> LoadReport {
         self.sequence += 1;
-        LoadReport { told: now, ..self.current_report() }
+        LoadReport { reported_at: now, ..self.current_report() }
     }
 
     /// Returns the present load under the sequence number of the last report.
@@ -183,9 +183,9 @@
             slots: self.limit() as u16,
             service_us: self.service_us as u32,
             slowness: self.slowness,
-            failing: (self.failing * 1_000.0) as u16,
+            failure_permille: (self.failing * 1_000.0) as u16,
             sequence: self.sequence,
-            told: self.now,
+            reported_at: self.now,
             cold: self.cold_start.room(self.now),
         }
     }
--- a/src/decide/benefit.rs
+++ b/src/decide/benefit.rs
@@ -95,7 +95,7 @@
     let expected = expected_us(record, now, estimate);
     let lateness = expected / estimate.objective_us.max(1.0);
     let in_time = 1.0 / (1.0 + lateness.powi(STEEPNESS));
-    let success = 1.0 - f64::from(record.load.failing) / 1_000.0;
+    let success = 1.0 - f64::from(record.load.failure_permille) / 1_000.0;
     let crossing = if record.remote { estimate.crossing_cost } else { 0.0 };
     in_time * success
         - LATENCY_WEIGHT * lateness.min(MAX_LATENESS)
@@ -134,7 +134,7 @@
 fn cold_room(record: &TargetRecord) -> Option<f64> {
     let cold = record.load.cold?;
     let sent = record.outstanding.saturating_sub(record.outstanding_at_report);
-    Some((f64::from(cold.now) - f64::from(sent)).max(0.0))
+    Some((f64::from(cold.available) - f64::from(sent)).max(0.0))
 }
 
 /// Returns the expected time for which a call sent now would wait to start at a cold target,
--- a/src/decide/call_ledger.rs
+++ b/src/decide/call_ledger.rs
@@ -28,8 +28,8 @@
 impl ClaimRow {
     /// Compares the row with a repeated request whose hash is `print`.
     #[must_use]
-    pub fn verdict(&self, print: &str) -> ClaimVerdict<'_> {
-        if self.print != print {
+    pub fn verdict(&self, fingerprint: &str) -> ClaimVerdict<'_> {
+        if self.fingerprint != fingerprint {
             return ClaimVerdict::KeyReused;
         }
         match &self.state {
@@ -69,7 +69,7 @@
     ///
     /// This is so if its id is known, as that of a late copy, a repeat or a revoked call, or if
     /// the ledger is full.
-    pub fn register(&mut self, now: MicroTime, call: CallId) -> bool {
+    pub fn arrive(&mut self, now: MicroTime, call: CallId) -> bool {
         self.drop_expired(now);
         if self.entries.len() >= LEDGER_CAPACITY || self.entries.contains_key(&call) {
             return false;
@@ -79,7 +79,7 @@
     }
 
     /// Requests permission to dispatch a call; returns `true` at most once for each call.
-    pub fn try_dispatch(&mut self, call: CallId) -> bool {
+    pub fn dispatch(&mut self, call: CallId) -> bool {
         match self.entries.get_mut(&call) {
             Some(entry @ LedgerEntry::Waiting) => {
                 *entry = LedgerEntry::Running;
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 
 use crate::base::clock::MicroTime;
-use crate::base::wire::ColdRoom;
+use crate::base::wire::ColdAllowance;
 
 /// Window over which started calls are counted. It is longer than the second that the rate
 /// refers to, by the time that a call may take from here to its target if the host's
@@ -94,8 +94,8 @@
     /// Start times of the calls within [`COLD_RATE_WINDOW`], oldest first.
     #[serde(rename = "begun")]
     started: VecDeque<MicroTime>,
-    /// Time before which no call starts at a cold target, since the calls recently started by
-    /// an earlier guard are unknown.
+    /// Time before which no call starts, since the calls recently started by an earlier
+    /// guard are unknown.
     blocked_until: MicroTime,
 }
 
@@ -201,13 +201,16 @@
 
     /// Returns how many calls may start, or `None` if the target is warm or unlimited.
     #[must_use]
-    pub fn room(&self, now: MicroTime) -> Option<ColdRoom> {
+    pub fn room(&self, now: MicroTime) -> Option<ColdAllowance> {
         let max_calls = self.max_calls().filter(|_| self.is_cold(now))?;
         let counted =
             self.started.iter().filter(|started| now.since(**started) < COLD_RATE_WINDOW).count();
         let free = if now < self.blocked_until { 0 } else { max_calls.saturating_sub(counted) };
         let next_ms = self.wait_behind(now, free).ceil_millis();
-        Some(ColdRoom { now: free as u16, next_ms: next_ms.min(u64::from(u16::MAX)) as u16 })
+        Some(ColdAllowance {
+            available: free as u16,
+            next_ms: next_ms.min(u64::from(u16::MAX)) as u16,
+        })
     }
 
     /// Returns the time from which on the target counts as warm unless it reports otherwise.
--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -1,4 +1,4 @@
-//! Present slowness of a target's host, and whether work should wait until it is over.
+//! Present slowness of a target's host, and whether work should wait for it to end.
 //!
 //! A host shared with other workloads is several times slower for some hundred
 //! milliseconds, then normal again. A call takes as long as its host's slowness at its
@@ -44,7 +44,7 @@
 
 /// Slowness of one host over time, as reported by its target.
 ///
-/// Invariants: `slowness` and `best` are finite and at least `MIN_SLOWNESS`, and
+/// Invariants: `slowness` and `best` are finite and at least [`MIN_SLOWNESS`], and
 /// `best <= slowness`.
 #[derive(Clone, Copy, Debug)]
 pub struct HostSpeed {
--- a/src/decide/registry.rs
+++ b/src/decide/registry.rs
@@ -22,15 +22,14 @@
     /// The targets, in no particular order.
     pub targets: Vec<TargetRecord>,
     /// Number of choices made so far.
-    #[serde(rename = "turn")]
-    choices_made: usize,
+    turn: usize,
 }
 
 impl ServiceTargets {
     /// Creates the set of a service's targets.
     #[must_use]
     pub const fn new(targets: Vec<TargetRecord>) -> Self {
-        Self { targets, choices_made: 0 }
+        Self { targets, turn: 0 }
     }
 
     /// Chooses a target that is not in `tried`; one to be avoided only if there is no other.
@@ -65,12 +64,12 @@
         if eligible.is_empty() {
             return None;
         }
-        self.choices_made = self.choices_made.wrapping_add(1);
+        self.turn = self.turn.wrapping_add(1);
         let input = SelectionInput {
             now,
             targets: &self.targets,
             eligible: &eligible,
-            choices_made: self.choices_made,
+            turn: self.turn,
             estimate,
         };
         let index = (policy.choose)(&input, rng);
--- a/src/decide/running_requests.rs
+++ b/src/decide/running_requests.rs
@@ -8,7 +8,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::digest::RequestDigest;
 use crate::base::ids::CallId;
-use crate::base::suspect::{SuspectNotice, SuspectRecord};
+use crate::base::suspect::{SuspectRecord, SuspectUpdate};
 
 /// Time for which an abandoned run may continue at its target: longer than the second or so by
 /// which a run outlives its connection.
@@ -56,7 +56,7 @@
 
     /// Records the end of the target and forgets all runs; returns the new crash record of each
     /// request that may have caused it.
-    pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectNotice> {
+    pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectUpdate> {
         let recent = self.abandoned.drain(..).filter(|(at, _)| now.since(*at) < ABANDONED_RUN_TIME);
         let runs = self.running.drain().map(|(_, run)| run).chain(recent.map(|(_, run)| run));
         let mut greatest: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
@@ -65,8 +65,8 @@
             let known = greatest.entry(run.digest).or_default();
             *known = record.max(*known);
         }
-        let notices = greatest.into_iter().map(|(digest, record)| SuspectNotice { digest, record });
-        let mut notices: Vec<SuspectNotice> = notices.collect();
+        let notices = greatest.into_iter().map(|(digest, record)| SuspectUpdate { digest, record });
+        let mut notices: Vec<SuspectUpdate> = notices.collect();
         notices.sort_unstable_by_key(|notice| notice.digest);
         notices
     }
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -53,7 +53,7 @@
 const EJECTION_TIME: MicroTime = MicroTime::from_millis(250);
 
 /// Age of a target's latest report from which on the fleet's suspicion of its host counts for
-/// more than the report. A target in use here reports several times within this time.
+/// more than the report. A target in use here reports several times as often.
 const RECENT_REPORT: MicroTime = MicroTime::from_millis(500);
 
 /// Location of a target and its guard.
@@ -81,8 +81,8 @@
     pub outstanding: u32,
     /// Newest load report.
     pub load: LoadReport,
-    /// Arrival time of the newest report, minus its delay in transit. Zero before the first
-    /// report.
+    /// Time that the newest report describes: its arrival minus its transit delay. Zero before
+    /// the first report.
     #[serde(rename = "heard")]
     pub reported_at: MicroTime,
     /// Value of `outstanding` when the newest report arrived.
@@ -141,8 +141,9 @@
         if load.sequence <= self.load.sequence {
             return;
         }
-        let offset = self.clock_offset.get_or_insert_with(|| ClockOffset::open(now, load.told));
-        let delay = offset.update(now, load.told);
+        let offset =
+            self.clock_offset.get_or_insert_with(|| ClockOffset::open(now, load.reported_at));
+        let delay = offset.update(now, load.reported_at);
         self.load = load;
         // A report that was delayed in transit is that much older.
         self.reported_at = now - delay;
@@ -219,7 +220,7 @@
         let ahead = self.calls_ahead(now, LOAD_HALF_LIFE_US);
         let wait = (ahead + 1.0 - slots).max(0.0) / slots;
         let utilisation = ahead / slots;
-        let failing = f64::from(self.load.failing) / 1_000.0;
+        let failing = f64::from(self.load.failure_permille) / 1_000.0;
         let cost = service
             * (1.0 + wait + UTILISATION_WEIGHT * utilisation)
             * (1.0 + FAILURE_COST * failing);
@@ -256,7 +257,7 @@
     /// Indices of the targets that may be chosen; never empty.
     pub eligible: &'a [usize],
     /// Number of choices made so far, for round-robin policies.
-    pub choices_made: usize,
+    pub turn: usize,
     /// Estimated properties of the call.
     pub estimate: &'a CallEstimate,
 }
@@ -310,7 +311,7 @@
 }
 
 fn choose_round_robin(input: &SelectionInput<'_>, _: &mut Pcg64Mcg) -> usize {
-    input.eligible[input.choices_made % input.eligible.len()]
+    input.eligible[input.turn % input.eligible.len()]
 }
 
 fn choose_least_outstanding(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
--- /dev/null
+++ b/src/fleet/store_followers.rs
@@ -0,0 +1,109 @@
+//! Selection of the daemons that follow the platform's store for the whole fleet.
+//!
+//! Each request to the store has a cost, and its reply is the same for all daemons.
+//! Therefore only a fixed number of daemons follow the store, whatever the size of the
+//! fleet. They keep their member rows there, so that new daemons can find the fleet, and
+//! pass on changes by gossip.
+//!
+//! Each daemon computes the selection from the gossiped member records, so that all of them
+//! select the same followers. A follower that can't reach the store says so in its record,
+//! and the next daemon in the order takes its place.
+
+use crate::base::clock::MicroTime;
+use crate::base::ids::HostName;
+use crate::base::member::{MemberRecord, MemberState};
+
+/// Maximum number of daemons that follow the store.
+///
+/// When three in five daemons fail at once, at least one of ten followers remains in 99 of
+/// 100 cases to follow the store until the failures are detected.
+pub const MAX_STORE_FOLLOWERS: usize = 10;
+
+/// Growth of the number of known daemons, as a fraction, that shows that a daemon does not
+/// know most of the fleet yet.
+const GROWTH_THRESHOLD: f64 = 0.1;
+
+/// Time without such growth after which a daemon is taken to know nearly the whole fleet.
+const GROWTH_TIMEOUT: MicroTime = MicroTime::from_millis(1_500);
+
+/// Decides whether a daemon currently follows the store.
+///
+/// When many daemons start at once, each knows only a few others at first and would select
+/// itself among them. Until a daemon knows nearly the whole fleet, it therefore follows the
+/// store only if the store has its member row or had fewer than [`MAX_STORE_FOLLOWERS`]
+/// rows.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FollowerRole {
+    is_bootstrap_follower: bool,
+    /// Number of known daemons at the last growth by more than [`GROWTH_THRESHOLD`].
+    size_at_growth: usize,
+    /// Time of that growth.
+    last_growth: MicroTime,
+    /// Whether nearly the whole fleet is known.
+    view_complete: bool,
+    /// Whether this daemon was among the selected followers at the last computation.
+    is_selected: bool,
+}
+
+impl FollowerRole {
+    /// Initialises the role from the member rows that the store had when the daemon started.
+    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own: &MemberRecord) {
+        self.is_bootstrap_follower = follows_at_bootstrap(rows, own);
+    }
+
+    /// Returns whether to follow the store.
+    ///
+    /// `size` is the number of known daemons, this one included. `is_selected` computes
+    /// whether this daemon is among the selected followers; it is `None` if the members have
+    /// not changed since the last call.
+    pub fn decide(
+        &mut self,
+        now: MicroTime,
+        size: usize,
+        is_selected: Option<impl FnOnce() -> bool>,
+    ) -> bool {
+        if size as f64 > self.size_at_growth as f64 * (1.0 + GROWTH_THRESHOLD) {
+            self.size_at_growth = size;
+            self.last_growth = now;
+        }
+        self.view_complete |= now.since(self.last_growth) >= GROWTH_TIMEOUT;
+        if let Some(is_selected) = is_selected {
+            self.is_selected = is_selected();
+        }
+        if self.view_complete { self.is_selected } else { self.is_bootstrap_follower }
+    }
+}
+
+/// Returns whether a daemon follows the store before it knows the fleet: if the store has
+/// too few member rows, or has the daemon's own.
+fn follows_at_bootstrap(rows: &[MemberRecord], own: &MemberRecord) -> bool {
+    let is_own = |row: &MemberRecord| row.host == own.host && row.peer == own.peer;
+    rows.len() < MAX_STORE_FOLLOWERS || rows.iter().any(is_own)
+}
+
+/// Returns whether the daemon of host `own` is one of those that follow the store.
+#[must_use]
+pub fn follows_store<'a>(members: impl Iterator<Item = &'a MemberRecord>, own: &HostName) -> bool {
+    let alive: Vec<&MemberRecord> = members.filter(|member| is_alive(member)).collect();
+    let mut candidates = alive.clone();
+    candidates.retain(|member| !member.store_lost);
+    if candidates.is_empty() {
+        // No daemon reaches the store: the first ones in the order retry it.
+        candidates = alive;
+    }
+    let Some(me) = candidates.iter().find(|member| member.host == *own) else { return false };
+    let own_hash = selection_hash(&me.host);
+    let preceding =
+        candidates.iter().filter(|member| selection_hash(&member.host) < own_hash).count();
+    preceding < MAX_STORE_FOLLOWERS
+}
+
+fn is_alive(member: &MemberRecord) -> bool {
+    member.state == MemberState::Alive
+}
+
+/// Returns the sort key of a host: a hash, so that the order depends neither on host names
+/// nor on data centres.
+fn selection_hash(host: &HostName) -> [u8; 32] {
+    *blake3::hash(host.as_str().as_bytes()).as_bytes()
+}
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -9,8 +9,8 @@
 
 use fake_network::{FakeNetwork, address, record};
 use railspan::{
-    FOLLOWERS, FollowerRole, MemberRecord, MemberState, MembershipEvent, MembershipState,
-    MicroTime, ServiceName, TargetNotice,
+    AdvertisedTarget, FollowerRole, MAX_STORE_FOLLOWERS, MemberRecord, MemberState,
+    MembershipEvent, MembershipState, MicroTime, ServiceName,
 };
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -47,10 +47,10 @@
     own
 }
 
-fn notice(index: usize, ready: bool) -> Vec<TargetNotice> {
+fn advertised(index: usize, ready: bool) -> Vec<AdvertisedTarget> {
     let service: ServiceName = ["huvo11a", "tika04b", "mona77c"][index % 3].into();
     let name = format!("i-7f3a91{index:04x}").as_str().into();
-    vec![TargetNotice { service, name, slots: 9, ready }]
+    vec![AdvertisedTarget { service, name, slots: 9, ready }]
 }
 
 impl LargeFleet {
@@ -106,7 +106,7 @@
         let (near, far): (Vec<&MemberRecord>, Vec<&MemberRecord>) = rows.iter().partition(is_near);
         let peers = if near.is_empty() { far } else { near };
         let peers: Vec<SocketAddr> = peers.iter().map(|row| row.peer).collect();
-        self.network.step(address(index), MembershipEvent::Learn(rows));
+        self.network.step(address(index), MembershipEvent::RecordsReceived(rows));
         for _ in 0..MET {
             let peer = peers[self.network.rng.random_range(0..peers.len())];
             if peer != address(index) {
@@ -116,9 +116,9 @@
     }
 
     fn tell_target(&mut self, index: usize, ready: bool) {
-        let targets = notice(index, ready);
+        let targets = advertised(index, ready);
         let revision = 1;
-        self.network.step(address(index), MembershipEvent::Local { targets, revision });
+        self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
     }
 
     fn pass(&mut self, ms: u64) {
@@ -147,8 +147,8 @@
     fn publish(&mut self, revision: u64, followers: &[usize]) -> EventCost {
         let (from, crossing) = (self.network.now_ms, self.network.crossing);
         for &index in followers {
-            let targets = notice(index, true);
-            self.network.step(address(index), MembershipEvent::Local { targets, revision });
+            let targets = advertised(index, true);
+            self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own().revision == revision;
         let known_ms = self.until(from, |fleet| fleet.network.nodes.values().all(in_force));
@@ -277,7 +277,7 @@
         (0..fleet.size).filter(follows).collect()
     };
     let lost = following(&fleet);
-    assert!((FOLLOWERS..FOLLOWERS + 5).contains(&lost.len()), "{lost:?}");
+    assert!((MAX_STORE_FOLLOWERS..MAX_STORE_FOLLOWERS + 5).contains(&lost.len()), "{lost:?}");
     let from = fleet.network.now_ms;
     for &index in &lost {
         fleet.network.nodes.remove(&address(index));
@@ -305,7 +305,7 @@
     for &index in &all {
         let rows: Vec<MemberRecord> =
             all[..index.min(ROWS)].iter().map(|&row| own_record(row)).collect();
-        roles[index].read_rows(&rows, &own_record(index));
+        roles[index].init_from_rows(&rows, &own_record(index));
         fleet.join(index);
     }
     let mut followed = vec![false; size];
@@ -319,7 +319,7 @@
         }
     }
     let followed = followed.into_iter().filter(|follows| *follows).count();
-    assert!(followed <= 4 * FOLLOWERS, "{followed} of {size} followed the store");
+    assert!(followed <= 4 * MAX_STORE_FOLLOWERS, "{followed} of {size} followed the store");
 }
 
 /// What a change costs between data centres does not grow with the daemons in them: each
--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -8,8 +8,9 @@
 
 use fake_network::{FakeNetwork, address, record};
 use railspan::{
-    BENEFIT_POLICY, CallEstimate, HostName, LoadReport, MemberRecord, MembershipEvent,
-    MembershipState, MicroTime, ServiceTargets, TargetNotice, TargetRecord, TargetRegistry, policy,
+    AdvertisedTarget, BENEFIT_POLICY, CallEstimate, HostName, LoadReport, MemberRecord,
+    MembershipEvent, MembershipState, MicroTime, ServiceTargets, TargetRecord, TargetRegistry,
+    policy,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -31,7 +32,7 @@
     let mut own = record(index, 1);
     own.data_centre = format!("centre-{}", index % CENTRES).as_str().into();
     let name = format!("target-{index}").as_str().into();
-    own.targets = vec![TargetNotice { service: SERVICE.into(), name, slots: 9, ready: true }];
+    own.targets = vec![AdvertisedTarget { service: SERVICE.into(), name, slots: 9, ready: true }];
     own
 }
 
@@ -41,7 +42,7 @@
     let all: Vec<MemberRecord> = (0..DAEMONS).map(own_record).collect();
     for own in &all {
         network.nodes.insert(own.peer, MembershipState::open(own.clone()));
-        network.step(own.peer, MembershipEvent::Learn(all.clone()));
+        network.step(own.peer, MembershipEvent::RecordsReceived(all.clone()));
     }
     network.run(SETTLE_MS).expect("nothing is checked");
     network
@@ -76,7 +77,7 @@
             slots: 9,
             slowness: 100,
             sequence: self.sequence,
-            told: now,
+            reported_at: now,
             ..LoadReport::default()
         };
         record.record_report(now, load);
@@ -119,7 +120,7 @@
             }
         }
         for (at, host) in unreached.into_iter().filter(|_| tells) {
-            network.step(at, MembershipEvent::Unreached(host));
+            network.step(at, MembershipEvent::MemberUnreachable(host));
         }
     }
     (to_lost, calls)
@@ -157,7 +158,7 @@
     let heard = MicroTime(NOW.0 - heard_ago_ms * 1_000);
     record.record_report(
         heard,
-        LoadReport { slots: 9, sequence: 1, told: heard, ..LoadReport::default() },
+        LoadReport { slots: 9, sequence: 1, reported_at: heard, ..LoadReport::default() },
     );
     record.suspect = doubted;
     record
--- a/tests/suspects_at_size.rs
+++ b/tests/suspects_at_size.rs
@@ -11,7 +11,7 @@
 
 use fake_network::{FakeNetwork, address, record};
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
-use railspan::{MembershipEvent, MembershipState, RequestDigest, SuspectNotice, SuspectRecord};
+use railspan::{MembershipEvent, MembershipState, RequestDigest, SuspectRecord, SuspectUpdate};
 use rand::RngExt;
 use test_case::test_case;
 
@@ -36,7 +36,7 @@
     arrivals: Vec<u64>,
     crashes: Vec<u64>,
     /// What the store keeps of it.
-    kept: Option<SuspectNotice>,
+    kept: Option<SuspectUpdate>,
 }
 
 impl DeadlyPlay {
@@ -61,7 +61,7 @@
     fn join_all(&mut self) {
         let all: Vec<_> = (0..self.size).map(own).collect();
         for index in 0..self.size {
-            self.network.step(address(index), MembershipEvent::Learn(all.clone()));
+            self.network.step(address(index), MembershipEvent::RecordsReceived(all.clone()));
         }
     }
 
@@ -92,12 +92,12 @@
                 }
                 let Some((_, (index, known))) = self.running.pop_first() else { break };
                 self.crashes.push(at);
-                let notice = SuspectNotice { digest: DEADLY, record: known.after_crash() };
+                let notice = SuspectUpdate { digest: DEADLY, record: known.after_crash() };
                 if notice.record.is_blamed() {
                     self.kept = Some(notice);
                 }
                 let notices = vec![notice];
-                let event = MembershipEvent::Suspect { notices, first_hand: true };
+                let event = MembershipEvent::SuspectRequests { notices, first_hand: true };
                 self.network.step(address(index), event);
             }
         }
@@ -125,7 +125,8 @@
         self.join_all();
         if let Some(notice) = self.kept {
             for index in 0..self.size {
-                let event = MembershipEvent::Suspect { notices: vec![notice], first_hand: false };
+                let event =
+                    MembershipEvent::SuspectRequests { notices: vec![notice], first_hand: false };
                 self.network.step(address(index), event);
             }
         }
@@ -198,8 +199,8 @@
     let mut play = DeadlyPlay::start(69, 11);
     play.send_for(6_000, 300, 0..69);
     let record = play.standing(0).after_clearance();
-    let notices = vec![SuspectNotice { digest: DEADLY, record }];
-    play.network.step(address(0), MembershipEvent::Suspect { notices, first_hand: true });
+    let notices = vec![SuspectUpdate { digest: DEADLY, record }];
+    play.network.step(address(0), MembershipEvent::SuspectRequests { notices, first_hand: true });
     play.pass(5_000);
     let held = (0..69).filter(|index| play.standing(*index).is_suspected()).count();
     assert_eq!(held, 0, "daemons that still hold it back");
