--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -222,7 +222,7 @@
         act: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.retry_budgets.borrow_mut();
-        let open = || self.retry_share.get().open(self.max_fleet_size.get());
+        let open = || self.retry_share.get().budget_for(self.max_fleet_size.get());
         act(budgets.entry(service.clone()).or_insert_with(open))
     }
 
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -83,7 +83,7 @@
         id: &str,
     ) -> Result<(), Response<ResponseBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
-        let want = match self.with_credit(&account.name, |credit| credit.arrive(self.clock.now())) {
+        let want = match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
             QuotaDecision::Admit => return Ok(()),
             QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
             QuotaDecision::AskHolder(want) => want,
--- a/src/call/guard/call_admission.rs
+++ b/src/call/guard/call_admission.rs
@@ -102,7 +102,7 @@
         if head.incarnation != self.incarnation || !self.targets.borrow().contains_key(&call.key) {
             return Err(Some(self.refusal(call, RefusalReason::Absent, UNAVAILABLE_RETRY_MS)));
         }
-        if !self.ledger.borrow_mut().arrive(self.clock.now(), head.call) {
+        if !self.ledger.borrow_mut().register(self.clock.now(), head.call) {
             return Err(Some(self.refusal(call, RefusalReason::Revoked, UNAVAILABLE_RETRY_MS)));
         }
         self.record_suspects(&[SuspectUpdate { digest: head.digest, record: head.suspect }]);
@@ -135,7 +135,7 @@
         let in_time = self.clock.now() < call.deadline;
         // Checks the request's record again: it may have changed while the call waited.
         let begun = self.begin_run(call);
-        if begun.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
+        if begun.is_ok() && in_time && self.ledger.borrow_mut().try_dispatch(head.call) {
             return Ok(claim);
         }
         self.end_run(call, RunOutcome::NotRun);
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -156,7 +156,7 @@
                 return;
             }
             incarnation = target.incarnation;
-            target.lease.end();
+            target.lease.mark_ended();
             self.connections.close_idle(target.announcement.address);
         }
         // Also remembers the end of an unknown target.
@@ -176,7 +176,7 @@
         let mut found = false;
         for target in self.targets.borrow_mut().values_mut() {
             if target.announcement.target == *name {
-                target.lease.drain(drained);
+                target.lease.set_drained(drained);
                 found = true;
             }
         }
--- a/src/decide/call_ledger.rs
+++ b/src/decide/call_ledger.rs
@@ -69,7 +69,7 @@
     ///
     /// This is so if its id is known, as that of a late copy, a repeat or a revoked call, or if
     /// the ledger is full.
-    pub fn arrive(&mut self, now: MicroTime, call: CallId) -> bool {
+    pub fn register(&mut self, now: MicroTime, call: CallId) -> bool {
         self.drop_expired(now);
         if self.entries.len() >= LEDGER_CAPACITY || self.entries.contains_key(&call) {
             return false;
@@ -79,7 +79,7 @@
     }
 
     /// Requests permission to dispatch a call; returns `true` at most once for each call.
-    pub fn dispatch(&mut self, call: CallId) -> bool {
+    pub fn try_dispatch(&mut self, call: CallId) -> bool {
         match self.entries.get_mut(&call) {
             Some(entry @ LedgerEntry::Waiting) => {
                 *entry = LedgerEntry::Running;
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -81,12 +81,12 @@
     }
 
     /// Records that the target ends.
-    pub const fn end(&mut self) {
+    pub const fn mark_ended(&mut self) {
         self.ended = true;
     }
 
     /// Sets or resets draining by an operator.
-    pub const fn drain(&mut self, drained: bool) {
+    pub const fn set_drained(&mut self, drained: bool) {
         self.drained = drained;
     }
 
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -55,12 +55,12 @@
 
 impl QuotaCredit {
     /// Decides about a request that arrived.
-    pub fn arrive(&mut self, now: MicroTime) -> QuotaDecision {
+    pub fn decide(&mut self, now: MicroTime) -> QuotaDecision {
         let elapsed = now.since(self.last_arrival).duration().as_secs_f64();
         self.last_arrival = self.last_arrival.max(now);
         let weight = std::f64::consts::LN_2 / RATE_HALF_LIFE_S;
         self.rate = self.rate * (-elapsed / RATE_HALF_LIFE_S).exp2() + weight;
-        if self.use_one(now) {
+        if self.try_use(now) {
             return QuotaDecision::Admit;
         }
         if now < self.exhausted_until {
@@ -78,7 +78,7 @@
     }
 
     /// Uses one granted request; returns whether there was one.
-    pub fn use_one(&mut self, now: MicroTime) -> bool {
+    pub fn try_use(&mut self, now: MicroTime) -> bool {
         while let Some((expires, left)) = self.grants.front_mut() {
             if *expires > now && *left > 0 {
                 *left -= 1;
--- a/src/decide/registry.rs
+++ b/src/decide/registry.rs
@@ -22,14 +22,15 @@
     /// The targets, in no particular order.
     pub targets: Vec<TargetRecord>,
     /// Number of choices made so far.
-    turn: usize,
+    #[serde(rename = "turn")]
+    choices_made: usize,
 }
 
 impl ServiceTargets {
     /// Creates the set of a service's targets.
     #[must_use]
     pub const fn new(targets: Vec<TargetRecord>) -> Self {
-        Self { targets, turn: 0 }
+        Self { targets, choices_made: 0 }
     }
 
     /// Chooses a target that is not in `tried`; one to be avoided only if there is no other.
@@ -64,12 +65,12 @@
         if eligible.is_empty() {
             return None;
         }
-        self.turn = self.turn.wrapping_add(1);
+        self.choices_made = self.choices_made.wrapping_add(1);
         let input = SelectionInput {
             now,
             targets: &self.targets,
             eligible: &eligible,
-            turn: self.turn,
+            choices_made: self.choices_made,
             estimate,
         };
         let index = (policy.choose)(&input, rng);
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -93,7 +93,7 @@
 impl RetryShare {
     /// Creates the full budget of one of `daemons` daemons; it has at least one token.
     #[must_use]
-    pub fn open(&self, daemons: usize) -> RetryBudget {
+    pub fn budget_for(&self, daemons: usize) -> RetryBudget {
         let parts = if self.divided { daemons.max(1) as f64 } else { 1.0 };
         RetryBudget::with_tokens((self.tokens_per_success, (self.max_tokens / parts).max(1.0)))
     }
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -257,7 +257,7 @@
     /// Indices of the targets that may be chosen; never empty.
     pub eligible: &'a [usize],
     /// Number of choices made so far, for round-robin policies.
-    pub turn: usize,
+    pub choices_made: usize,
     /// Estimated properties of the call.
     pub estimate: &'a CallEstimate,
 }
@@ -311,7 +311,7 @@
 }
 
 fn choose_round_robin(input: &SelectionInput<'_>, _: &mut Pcg64Mcg) -> usize {
-    input.eligible[input.turn % input.eligible.len()]
+    input.eligible[input.choices_made % input.eligible.len()]
 }
 
 fn choose_least_outstanding(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -105,7 +105,7 @@
     ) {
         let conditions = [TargetCondition::Warming, TargetCondition::Ready, TargetCondition::Draining];
         let mut lease = TargetLease::open(MicroTime(0), TargetCondition::Warming, TARGET_LEASE);
-        lease.drain(drained);
+        lease.set_drained(drained);
         let (mut last, mut condition) = (MicroTime(0), TargetCondition::Warming);
         for (at, index) in beats {
             condition = conditions[usize::from(index)];
--- a/tests/call_ledger.rs
+++ b/tests/call_ledger.rs
@@ -31,10 +31,10 @@
             let id = CallId(call);
             match kind {
                 0 => {
-                    ledger.arrive(now, id);
+                    ledger.register(now, id);
                 }
                 1 => {
-                    if ledger.dispatch(id) {
+                    if ledger.try_dispatch(id) {
                         let earlier = dispatched.insert(call, now);
                         let fresh = earlier.is_none_or(|at| now.since(at) >= retention);
                         prop_assert!(fresh, "dispatched twice");
@@ -89,12 +89,12 @@
     for number in 0..336_u64 * 600 {
         let now = MicroTime(number * 1_000_000 / 336);
         let call = u128::from(number) * 3;
-        assert!(ledger.arrive(now, CallId(call)), "full after {} s", now.0 / 1_000_000);
-        assert!(ledger.dispatch(CallId(call)));
+        assert!(ledger.register(now, CallId(call)), "full after {} s", now.0 / 1_000_000);
+        assert!(ledger.try_dispatch(CallId(call)));
         let deadline = now + MicroTime::from_millis(2_000);
         ledger.finish_repeatable(now, CallId(call), CallStatus::Unknown, deadline);
         for denied in 1..3 {
-            assert!(ledger.arrive(now, CallId(call + denied)));
+            assert!(ledger.register(now, CallId(call + denied)));
             assert_eq!(ledger.revoke(now, CallId(call + denied)), CallStatus::NotRun);
         }
     }
@@ -176,7 +176,7 @@
         self.next_call += 1;
         let call = CallId(self.next_call);
         let incarnation = self.guards[guard].incarnation;
-        if self.guards[guard].ledger.arrive(MicroTime(0), call) {
+        if self.guards[guard].ledger.register(MicroTime(0), call) {
             self.history.push(format!("{call:?} at guard {guard} expects {expect}"));
             self.flying.push(FlyingClaim { call, guard, incarnation, expect, abandoned: false });
         }
@@ -227,7 +227,7 @@
     fn dispatch(&mut self) {
         let guard = self.rng.random_range(0..self.guards.len());
         let Some((call, version)) = self.guards[guard].held.pop() else { return };
-        if self.guards[guard].ledger.dispatch(call) {
+        if self.guards[guard].ledger.try_dispatch(call) {
             self.history.push(format!("{call:?} runs"));
             self.runs.push(call);
             self.guards[guard].running.push((call, version));
@@ -313,8 +313,8 @@
 fn a_call_that_may_repeat_is_not_said_not_to_have_run_after_it_ran() {
     let mut ledger = CallLedger::default();
     let deadline = MicroTime::from_millis(1_500);
-    assert!(ledger.arrive(MicroTime(0), CallId(1)));
-    assert!(ledger.dispatch(CallId(1)));
+    assert!(ledger.register(MicroTime(0), CallId(1)));
+    assert!(ledger.try_dispatch(CallId(1)));
     ledger.finish_repeatable(MicroTime::from_millis(10), CallId(1), CallStatus::Unknown, deadline);
     assert_ne!(ledger.revoke(MicroTime::from_millis(1_460), CallId(1)), CallStatus::NotRun);
     // Long after the deadline nobody asks, and nothing is kept.
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -98,7 +98,7 @@
     }
 
     fn request(&mut self, entry: usize) {
-        let want = match self.daemons[entry].credit.arrive(self.now) {
+        let want = match self.daemons[entry].credit.decide(self.now) {
             QuotaDecision::Admit => return self.passed.push(self.now),
             QuotaDecision::Refuse(_) => return self.refused += 1,
             QuotaDecision::AskHolder(want) => want,
--- a/tests/suspended_host.rs
+++ b/tests/suspended_host.rs
@@ -62,8 +62,8 @@
 fn a_call_revoked_before_does_not_run_afterwards() {
     let mut ledger = CallLedger::default();
     assert_eq!(ledger.revoke(BEFORE, CallId(1)), CallStatus::NotRun);
-    assert!(!ledger.arrive(AWAKE, CallId(1)));
-    assert!(!ledger.dispatch(CallId(1)));
+    assert!(!ledger.register(AWAKE, CallId(1)));
+    assert!(!ledger.try_dispatch(CallId(1)));
 }
 
 /// An entry tells a guard when it sent a call by the guard's clock; were the time of a
