--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -94,8 +94,8 @@
     /// Start times of the calls within [`COLD_RATE_WINDOW`], oldest first.
     #[serde(rename = "begun")]
     started: VecDeque<MicroTime>,
-    /// Time before which no call starts, since the calls recently started by an earlier
-    /// guard are unknown.
+    /// Time before which no call starts at a cold target, since the calls recently started by
+    /// an earlier guard are unknown.
     blocked_until: MicroTime,
 }
 
--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -1,4 +1,4 @@
-//! Present slowness of a target's host, and whether work should wait for it to end.
+//! Present slowness of a target's host, and whether work should wait until it is over.
 //!
 //! A host shared with other workloads is several times slower for some hundred
 //! milliseconds, then normal again. A call takes as long as its host's slowness at its
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -53,7 +53,7 @@
 const EJECTION_TIME: MicroTime = MicroTime::from_millis(250);
 
 /// Age of a target's latest report from which on the fleet's suspicion of its host counts for
-/// more than the report. A target in use here reports several times as often.
+/// more than the report. A target in use here reports several times within this time.
 const RECENT_REPORT: MicroTime = MicroTime::from_millis(500);
 
 /// Location of a target and its guard.
@@ -81,8 +81,8 @@
     pub outstanding: u32,
     /// Newest load report.
     pub load: LoadReport,
-    /// Time that the newest report describes: its arrival minus its transit delay. Zero before
-    /// the first report.
+    /// Arrival time of the newest report, minus its delay in transit. Zero before the first
+    /// report.
     #[serde(rename = "heard")]
     pub reported_at: MicroTime,
     /// Value of `outstanding` when the newest report arrived.
