--- a/src/decide/clock_offset.rs
+++ b/src/decide/clock_offset.rs
@@ -16,7 +16,7 @@
 /// Estimated offset of another clock.
 ///
 /// Invariant: never greater than the true offset, as long as the clocks drift apart by no more
-/// than [`MAX_DRIFT`].
+/// than `MAX_DRIFT`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ClockOffset {
     /// Lower bound of the other clock's time minus the own one.
--- a/src/decide/commit_backoff.rs
+++ b/src/decide/commit_backoff.rs
@@ -18,7 +18,7 @@
 
 /// Adaptive delay between the transactions of one daemon.
 ///
-/// Invariants: the delay stays within [`DELAY_BOUNDS`]; each failure doubles it, up to the upper
+/// Invariants: the delay stays within `DELAY_BOUNDS`; each failure doubles it, up to the upper
 /// bound; [`CommitBackoff::is_down`] is true only while there was no success since the first
 /// failure.
 #[derive(Clone, Debug)]
--- a/src/decide/host_speed.rs
+++ b/src/decide/host_speed.rs
@@ -44,7 +44,7 @@
 
 /// Slowness of one host over time, as reported by its target.
 ///
-/// Invariants: `slowness` and `best` are finite and at least [`MIN_SLOWNESS`], and
+/// Invariants: `slowness` and `best` are finite and at least `MIN_SLOWNESS`, and
 /// `best <= slowness`.
 #[derive(Clone, Copy, Debug)]
 pub struct HostSpeed {
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -19,7 +19,7 @@
 use crate::base::clock::MicroTime;
 use crate::decide::selection::decay;
 
-/// Number of steps between [`MIN_FRACTION`] of the slots and all of them: each step is a
+/// Number of steps between `MIN_FRACTION` of the slots and all of them: each step is a
 /// sixteenth of the slots.
 const LEVEL_STEPS: usize = 8;
 
@@ -101,7 +101,7 @@
 /// Adaptive concurrency limit of one target.
 ///
 /// Invariants: `levels` is never empty, and `max_running` increases strictly from
-/// [`MIN_FRACTION`] of the slots, rounded up, to all of them; `lowered <= level <=
+/// `MIN_FRACTION` of the slots, rounded up, to all of them; `lowered <= level <=
 /// raised`, and all three are indices into `levels`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConcurrencyLimit {
