--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -142,7 +142,7 @@
 /// Hosts that calls did not reach are probed at once: three fifths of the calls go to lost
 /// hosts that did where they were probed in turn, and fewer than without that.
 #[test]
-fn fewer_calls_go_to_lost_hosts_where_they_are_looked_after() {
+fn fewer_calls_go_to_lost_hosts_that_are_probed_at_once() {
     let (with, calls) = calls_to_lost_hosts(true, true);
     let (without, _) = calls_to_lost_hosts(true, false);
     assert!(
