--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -68,7 +68,7 @@
 /// Number of daemons to which a daemon sends a notice when it adopts a revision, or when
 /// the evacuated data centres change.
 ///
-/// The news reaches all daemons after a few steps, wherever it starts, and a revision is
+/// The notice reaches all daemons after a few steps, wherever it starts, and a revision is
 /// mostly fetched from a peer in the same data centre.
 pub(super) const HEADER_FANOUT: PeerCounts = PeerCounts { local: 3, remote: 1 };
 
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -32,7 +32,7 @@
 use crate::rules::revision::ActiveRevision;
 use suspects::PendingSuspects;
 
-/// Number of peers from which a new daemon fetches records and revisions before it serves.
+/// Number of peers from which a new daemon fetches records and revisions when it joins.
 const JOIN_PEERS: usize = 3;
 
 /// Time between two log lines of the traffic between data centres.
@@ -60,7 +60,7 @@
     seeds: Vec<SocketAddr>,
     /// Whether the view has changed since it was sent to the other threads.
     view_dirty: RefCell<bool>,
-    /// Whether the entry was allowed to serve.
+    /// Whether the entry may serve.
     joined: RefCell<bool>,
     /// Whether records and revisions of peers are being fetched before joining.
     joining: RefCell<bool>,
@@ -69,11 +69,11 @@
     bootstrapped: Cell<bool>,
     /// Whether the followers of the store have to be selected again.
     selection_outdated: Cell<bool>,
-    /// Whether this daemon should follow the store by the selection.
+    /// Decides whether this daemon follows the store, unless it is isolated.
     follower_role: RefCell<FollowerRole>,
-    /// Whether the platform thread was told to follow the store.
+    /// Last value sent to the platform thread: whether to follow the store.
     following: Cell<bool>,
-    /// Whether the guard was told that this daemon is isolated from all others.
+    /// Last value sent to the guard: whether this daemon is isolated from all others.
     reported_isolated: Cell<bool>,
     /// When the store last became unreachable or reachable.
     store_lost_at: Cell<MicroTime>,
@@ -310,10 +310,10 @@
         }
     }
 
-    /// Merges the members from the table, fetches records and revisions from some peers, and
-    /// then lets the entry serve.
+    /// Merges the members from the table and fetches records and revisions from some peers.
     ///
-    /// `reached` tells whether the store was read.
+    /// The entry may serve at once if `reached`, that is, if the store was read; otherwise
+    /// once the first peer has replied.
     async fn join(self: Rc<Self>, members: Vec<MemberRecord>, reached: bool) {
         self.joining.replace(true);
         self.step(MembershipEvent::RecordsReceived(members));
