--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -42,12 +42,12 @@
 type TargetKey = (ServiceName, TargetName);
 
 impl GuardDuty {
-    /// Merges notices about suspected requests into what is known.
-    pub(crate) fn record_suspects(&self, notices: &[SuspectUpdate]) {
+    /// Merges updates about suspected requests into the known records.
+    pub(crate) fn record_suspects(&self, updates: &[SuspectUpdate]) {
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        for notice in notices {
-            suspects.merge(now, *notice);
+        for update in updates {
+            suspects.merge(now, *update);
         }
     }
 
@@ -163,31 +163,31 @@
     /// Marks the requests that ran on a target as suspects when it ends unannounced.
     pub(super) fn suspect_running(&self, key: &TargetKey) {
         let now = self.clock.now();
-        let notices = self.targets.borrow_mut().get_mut(key).map(|target| target.end_runs(now));
-        self.report_suspects(&key.1, notices.unwrap_or_default());
+        let updates = self.targets.borrow_mut().get_mut(key).map(|target| target.end_runs(now));
+        self.report_suspects(&key.1, updates.unwrap_or_default());
     }
 
     /// Logs and publishes which requests ran on a target when it crashed.
-    pub(super) fn report_suspects(&self, target: &TargetName, notices: Vec<SuspectUpdate>) {
-        if notices.is_empty() {
+    pub(super) fn report_suspects(&self, target: &TargetName, updates: Vec<SuspectUpdate>) {
+        if updates.is_empty() {
             return;
         }
         self.metrics.target_crashes.inc();
-        let digests: Vec<String> = notices
+        let digests: Vec<String> = updates
             .iter()
             .take(MAX_LOGGED_DIGESTS)
-            .map(|notice| notice.digest.to_string())
+            .map(|update| update.digest.to_string())
             .collect();
-        let crashes = notices.iter().map(|notice| notice.record.crashes).max();
-        info!(self.logger, "target crashed"; "target" => %target, "calls" => notices.len(),
+        let crashes = updates.iter().map(|update| update.record.crashes).max();
+        info!(self.logger, "target crashed"; "target" => %target, "calls" => updates.len(),
             "crashes" => crashes, "digests" => digests.join(" "));
-        self.publish_suspects(notices);
+        self.publish_suspects(updates);
     }
 
-    fn publish_suspects(&self, notices: Vec<SuspectUpdate>) {
-        self.record_suspects(&notices);
+    fn publish_suspects(&self, updates: Vec<SuspectUpdate>) {
+        self.record_suspects(&updates);
         let source = SuspectSource::Guard;
-        if self.rings.peers.push(PeersEvent::Suspects { notices, source }).is_err() {
+        if self.rings.peers.push(PeersEvent::Suspects { updates, source }).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -104,9 +104,9 @@
     ///
     /// Returns no requests if the target had announced its end, since that is no crash.
     pub(crate) fn end_runs(&mut self, now: MicroTime) -> Vec<SuspectUpdate> {
-        let mut notices = self.running_requests.target_ended(now);
-        notices.retain(|_notice| !self.lease.is_leaving());
-        notices
+        let mut updates = self.running_requests.target_ended(now);
+        updates.retain(|_update| !self.lease.is_leaving());
+        updates
     }
 
     /// Returns the number of calls that run on the target.
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -206,7 +206,7 @@
                 self.update_cold_rates();
             }
             GuardEvent::Evacuated(evacuated) => self.set_evacuated(evacuated),
-            GuardEvent::Suspects(notices) => self.record_suspects(&notices),
+            GuardEvent::Suspects(updates) => self.record_suspects(&updates),
             GuardEvent::Report { report, reply } => {
                 self.handle_report(report);
                 _ = reply.send(());
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -214,15 +214,15 @@
     /// Publishes the host's targets and their readiness to the peers.
     fn advertise_targets(&self) {
         let targets = self.targets.borrow();
-        let notices = targets.values().map(|target| AdvertisedTarget {
+        let advertised = targets.values().map(|target| AdvertisedTarget {
             service: target.announcement.service.clone(),
             name: target.announcement.target.clone(),
             slots: target.announcement.slots,
             ready: target.advertised_ready,
         });
-        let mut notices: Vec<AdvertisedTarget> = notices.collect();
-        notices.sort_by(|a, b| a.name.cmp(&b.name));
-        if self.rings.peers.push(PeersEvent::LocalTargets(notices)).is_err() {
+        let mut advertised: Vec<AdvertisedTarget> = advertised.collect();
+        advertised.sort_by(|a, b| a.name.cmp(&b.name));
+        if self.rings.peers.push(PeersEvent::LocalTargets(advertised)).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -210,7 +210,7 @@
     host.evacuated =
         evacuated.is_some_and(|all| all.iter().any(|name| name == host.data_centre.as_str()));
     let blamed = answer["blamed"].as_array().into_iter().flatten();
-    let digests = blamed.filter_map(|notice| RequestDigest::parse(notice["digest"].as_str()?));
+    let digests = blamed.filter_map(|request| RequestDigest::parse(request["digest"].as_str()?));
     host.blamed = digests.collect();
     host.condition = if host.ready { HostCondition::Serving } else { HostCondition::NotReady };
 }
@@ -231,7 +231,8 @@
 /// Fails when no daemon has the target, or its daemon can't be reached.
 pub async fn drain(daemon: SocketAddr, target: &str, on: bool) -> Result<HostName, OperatorError> {
     let view = read_members(daemon).await?;
-    let has = |notice: &crate::base::member::AdvertisedTarget| notice.name.as_str() == target;
+    let has =
+        |advertised: &crate::base::member::AdvertisedTarget| advertised.name.as_str() == target;
     let member = view.serving().find(|member| member.targets.iter().any(has));
     let member = member.ok_or_else(|| OperatorError::NoTarget { target: target.to_owned() })?;
     let path = format!("/drain?target={target}&on={on}");
