--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -22,7 +22,7 @@
 use crate::call::responses::{self, GuardBody, ResponseBody};
 use crate::decide::selection::TargetLocation;
 
-/// Retry delay of refusals that the entry itself makes, in milliseconds.
+/// Retry delay after an attempt that the entry itself counts as refused, in milliseconds.
 const ENTRY_REFUSAL_RETRY_MS: u32 = 100;
 
 /// Longest wait for a guard's reply to a revocation.
@@ -31,8 +31,8 @@
 /// Longest body that is sent in one write with its head, in bytes.
 const MAX_INLINE_BODY: usize = 64 << 10;
 
-/// Time reserved for the work, as a multiple of its usual time: shared hosts take
-/// about a quarter longer, and the times of single calls vary by half.
+/// Time reserved for a call's work, as a multiple of its usual time: shared hosts take about a
+/// quarter longer, and the times of single calls vary by half.
 const WORK_MARGIN: f64 = 1.5;
 
 /// How an attempt ended.
@@ -58,7 +58,8 @@
     duty: Rc<EntryDuty>,
     service: ServiceName,
     target: TargetName,
-    sent: MicroTime,
+    started: MicroTime,
+    /// Time from the start of the attempt to the head of the answer, if there is one.
     latency: Option<MicroTime>,
     failed: bool,
     /// Whether no connection to the guard could be used.
@@ -111,7 +112,7 @@
         duty: Rc::clone(duty),
         service: call.service.clone(),
         target: target.clone(),
-        sent: now,
+        started: now,
         latency: None,
         failed: false,
         unreachable: false,
@@ -126,8 +127,8 @@
         outstanding.mark_unreachable(location);
         return AttemptEnd::unreachable();
     };
-    // Before the first load report the guard's clock is unknown, so that the guard could
-    // not tell how long the call was in transit.
+    // Before the first load report the offset of the guard's clock is unknown, so the guard
+    // could not tell how long the call was in transit.
     let mut guard_time = duty.guard_time(&call.service, target);
     if guard_time.is_none() {
         if !load_watch::fetch_first_report(duty, &call.service, target, location).await {
@@ -300,7 +301,7 @@
     answer: &AnswerHead,
     reader: HeadReader,
 ) -> AttemptEnd {
-    let latency = outstanding.duty.clock.now().since(outstanding.sent);
+    let latency = outstanding.duty.clock.now().since(outstanding.started);
     match answer {
         AnswerHead::Answered { call: echoed, .. }
         | AnswerHead::Refused { call: echoed, .. }
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -31,21 +31,22 @@
 ///
 /// Calls of a client account are hedged only if the template of their kind allows it,
 /// since hedging a call that makes further calls would double those at every level.
-/// Routed reads are always hedged, within the service's retry budget. The first answer
-/// is used and the other attempt is cancelled. The second target is added to `tried`. The
-/// last attempt, and a call that must not run twice, is never hedged.
+/// Routed reads are hedged within the retry budget of their service, if another target would
+/// be in time. The first answer is used and the other attempt is cancelled. The second target
+/// is added to `tried`. The last attempt of a call, a call that must not run twice and a
+/// request that is suspected of crashing targets are never hedged.
 pub(crate) async fn run(
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     chosen: &ChosenTarget,
-    course: &mut CallAttempts,
+    attempts: &mut CallAttempts,
     last: bool,
     tried: &mut Vec<TargetName>,
 ) -> AttemptEnd {
     let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last));
     // A request that may crash its target must not run at two targets.
-    let single = last || duty.suspect_record(call).is_suspected();
-    if single || call.options.hedge == HedgeRule::Never || !course.may_hedge() {
+    let must_not_hedge = last || duty.suspect_record(call).is_suspected();
+    if must_not_hedge || call.options.hedge == HedgeRule::Never || !attempts.may_hedge() {
         return first.await;
     }
     let mut progress = AttemptProgress::open(duty, call);
@@ -62,9 +63,10 @@
         if call.options.hedge == HedgeRule::SlowCalls {
             return first.await;
         }
-        // No other target would be in time now; one may be at the next check.
+        // No other target would be in time now, or the budget is used up; that may have
+        // changed at the next check.
     };
-    course.count_hedge();
+    attempts.count_hedge();
     let last = second.untried == 0;
     let second = pin!(attempt::run(duty, call, &second.name, &second.location, last));
     match select(first, second).await {
@@ -100,7 +102,7 @@
 
 /// Progress of an attempt, estimated from its target's speed.
 struct AttemptProgress {
-    /// Usual time of the work, in microseconds.
+    /// Usual work time of the call's route, in microseconds.
     work_us: f64,
     /// Part of the work that is estimated to be done, in microseconds at usual speed.
     done_us: f64,
@@ -115,23 +117,24 @@
         Self { work_us, done_us: 0.0, started: now, checked: now }
     }
 
-    /// Accounts for the time since the last check at the given slowness, a factor; returns
-    /// when the attempt will end if the slowness stays the same.
+    /// Adds the work done since the last check, at a target that is slower than usual by the
+    /// factor `slowness`; returns when the attempt will end if the slowness stays the same.
     fn advance(&mut self, now: MicroTime, slowness: f64) -> MicroTime {
         self.done_us += now.since(self.checked).0 as f64 / slowness;
         self.checked = now;
-        let left = (self.work_us - self.done_us).max(0.0) * slowness;
-        now + MicroTime(left as u64)
+        let left_us = (self.work_us - self.done_us).max(0.0) * slowness;
+        now + MicroTime(left_us as u64)
     }
 
     /// Returns whether the attempt takes longer than usual, for whatever reason.
     fn is_overdue(&self, now: MicroTime) -> bool {
-        let usual = MicroTime((self.work_us * OVERDUE_FACTOR) as u64).max(MIN_OVERDUE_TIME);
-        now.since(self.started) > usual
+        let overdue_time = MicroTime((self.work_us * OVERDUE_FACTOR) as u64).max(MIN_OVERDUE_TIME);
+        now.since(self.started) > overdue_time
     }
 }
 
-/// Chooses the target of a second attempt, if a budget grants one.
+/// Chooses the target of a second attempt, if the hedge rule and the budget of the call allow
+/// one.
 fn choose_hedge_target(
     duty: &EntryDuty,
     call: &CallerCall,
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -62,7 +62,7 @@
     pub(crate) probe_socket: UdpSocket,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) hedge_budget: RefCell<RetryBudget>,
-    /// Attempts that this daemon may add to the calls of each service.
+    /// Budgets of the attempts that this daemon may add to the calls of each service.
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     retry_share: Cell<RetryShare>,
     /// Largest number of serving daemons in any fleet view so far.
@@ -190,7 +190,7 @@
                 self.quotas.set_terms(quota);
                 self.retry_budgets.borrow_mut().clear();
             }
-            EntryEvent::Suspects(notices) => self.merge_suspects(&notices),
+            EntryEvent::Suspects(updates) => self.merge_suspects(&updates),
             EntryEvent::Withdraw => {
                 self.withdrawn.set(true);
                 self.update_readiness();
@@ -261,7 +261,8 @@
         Some(offset.remote_time(self.clock.now()))
     }
 
-    /// Records whether a target is watched; returns whether that changed.
+    /// Records whether a target is watched; returns whether that changed. An unknown target is
+    /// never watched.
     pub(crate) fn mark_watched(
         &self,
         service: &ServiceName,
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -28,11 +28,11 @@
 pub(crate) struct ChosenTarget {
     pub(crate) name: TargetName,
     pub(crate) location: TargetLocation,
-    /// Time that the target takes for a call, in microseconds; an estimate if unknown.
+    /// Reported time that the target takes for a call, or an assumed one, in microseconds.
     pub(crate) service_us: f64,
     /// Load report that the choice was based on.
     pub(crate) load: LoadReport,
-    /// Age of the load report.
+    /// Age of the load report at the time of the choice.
     pub(crate) load_age: MicroTime,
     /// Number of targets that have not been tried.
     pub(crate) untried: usize,
@@ -45,28 +45,28 @@
         let mut tried: Vec<TargetName> = Vec::new();
         // The tried targets that would not serve another attempt soon.
         let mut unusable: Vec<TargetName> = Vec::new();
-        let mut course = CallAttempts::open(call.options.repeatable, call.options.attempts);
+        let mut attempts = CallAttempts::open(call.options.repeatable, call.options.attempts);
         let mut refusal = ("no_target", NOT_READY_RETRY_MS);
         // A target's server error, returned if no other target answers.
         let mut failure: Option<Response<ResponseBody>> = None;
         loop {
-            if let Some(response) = self.reject_blamed(&call, course.failure_decision()) {
+            if let Some(response) = self.reject_blamed(&call, attempts.failure_decision()) {
                 return failure.unwrap_or(response);
             }
-            if course.is_last_attempt() {
+            if attempts.is_last_attempt() {
                 // A target that was full may still have the shortest queue of all.
                 tried.retain(|name| unusable.contains(name));
             }
             let Some(chosen) = self.choose(&call, &tried) else {
                 return failure
-                    .unwrap_or_else(|| final_response(course.failure_decision(), refusal));
+                    .unwrap_or_else(|| final_response(attempts.failure_decision(), refusal));
             };
             load_probe::probe_random_target(self, &call.service);
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
-            let last = course.is_last_attempt() || chosen.untried == 0;
+            let last = attempts.is_last_attempt() || chosen.untried == 0;
             let (end, cause) =
-                match hedge::run(self, &call, &chosen, &mut course, last, &mut tried).await {
+                match hedge::run(self, &call, &chosen, &mut attempts, last, &mut tried).await {
                     AttemptEnd::Answered(response) if response.status().is_server_error() => {
                         unusable.push(chosen.name);
                         failure = Some(response);
@@ -74,7 +74,7 @@
                     }
                     AttemptEnd::Answered(response) => {
                         self.with_retry_budget(&call.service, |budget| {
-                            course.record(AttemptResult::Answered, true, budget)
+                            attempts.record(AttemptResult::Answered, true, budget)
                         });
                         self.hedge_budget.borrow_mut().record_success();
                         return response;
@@ -106,9 +106,9 @@
                     }
                 };
             let in_time = self.clock.now() < call.deadline;
-            let next =
-                self.with_retry_budget(&call.service, |budget| course.record(end, in_time, budget));
-            if let Some(response) = self.reject_blamed(&call, course.failure_decision()) {
+            let next = self
+                .with_retry_budget(&call.service, |budget| attempts.record(end, in_time, budget));
+            if let Some(response) = self.reject_blamed(&call, attempts.failure_decision()) {
                 return failure.unwrap_or(response);
             }
             if next != RetryDecision::Retry {
@@ -120,6 +120,9 @@
     }
 
     /// Chooses a target that is not in `tried`.
+    ///
+    /// All entries send a suspected request to the same target, if one would serve it in
+    /// time.
     pub(crate) fn choose(&self, call: &CallerCall, tried: &[TargetName]) -> Option<ChosenTarget> {
         let mut registry = self.registry.borrow_mut();
         let targets = registry.services.get_mut(&call.service)?;
@@ -148,15 +151,16 @@
         })
     }
 
-    /// Returns whether another attempt, started now, would probably be in time.
+    /// Returns whether an attempt at a target that is not in `tried`, started now, would
+    /// probably be in time.
     pub(crate) fn can_be_in_time(&self, call: &CallerCall, tried: &[TargetName]) -> bool {
         let now = self.clock.now();
         let stats = self.route_stats.borrow();
         let left = call.objective().since(now);
         let mut estimate = stats.estimate(&call.options, left, self.crossing_cost);
         if !stats.knows(&call.options.kind) {
-            // Without a known work time, always allow the hedge: an assumed one must not
-            // keep a read waiting for a target that hangs.
+            // An assumed work time is no reason to keep a read waiting at a target that hangs;
+            // with zero, the service times that the targets report are used instead.
             estimate.work_us = 0.0;
         }
         let registry = self.registry.borrow();
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -9,19 +9,20 @@
 use crate::call::responses::{self, ResponseBody};
 use crate::decide::retry::RetryDecision;
 
-/// Reason in the response to a call that may reach no target.
+/// Reason in the response to a call whose request is blamed for crashes.
 const REASON: &str = "ends_targets";
 
 impl EntryDuty {
-    pub(super) fn merge_suspects(&self, notices: &[SuspectUpdate]) {
+    /// Merges updates of crash records into this entry's records.
+    pub(super) fn merge_suspects(&self, updates: &[SuspectUpdate]) {
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        for notice in notices {
-            suspects.merge(now, *notice);
+        for update in updates {
+            suspects.merge(now, *update);
         }
     }
 
-    /// Merges a guard's crash record of a call's request into this entry's.
+    /// Merges a guard's crash record of a call's request into this entry's records.
     pub(crate) fn merge_suspect(&self, call: &CallerCall, record: SuspectRecord) {
         self.merge_suspects(&[SuspectUpdate { digest: call.digest, record }]);
     }
