--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of a caller's request: its service, terms and account.
+//! Reading and checking of a caller's request: its service, call options and account.
 
 use std::sync::Arc;
 
@@ -64,7 +64,11 @@
     }
 }
 
-/// Reads and checks a call; `Err` is the response to a rejected one.
+/// Reads and checks a call.
+///
+/// # Errors
+///
+/// Returns the response to a call that is rejected.
 pub(crate) async fn receive(
     duty: &EntryDuty,
     request: Request<Incoming>,
@@ -96,11 +100,12 @@
     let host = host.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str));
     let route = config.route(host.unwrap_or_default(), parts.uri.path());
     let route = route.ok_or_else(|| responses::not_run(StatusCode::NOT_FOUND, "no_route", 0))?;
-    let deadline_ms = headers::get_str(&parts.headers, names.deadline_ms);
+    let stated_deadline = headers::get_str(&parts.headers, names.deadline_ms);
     let account = authenticate_routed(config, route, &parts.headers)
         .map_err(|UnknownToken| responses::not_run(StatusCode::UNAUTHORIZED, "no_account", 0))?;
     let rank = account.and_then(|account| account.rank);
-    let options = route.call_options(deadline_ms.and_then(|text| text.trim().parse().ok()), rank);
+    let options =
+        route.call_options(stated_deadline.and_then(|text| text.trim().parse().ok()), rank);
     let mut forwarded = headers::forward_request_headers(&parts.headers, names);
     if !config.accounts.is_empty() {
         forwarded.retain(|(name, _)| name != AUTHORIZATION.as_str());
@@ -192,12 +197,12 @@
 /// A token that belongs to no account.
 struct UnknownToken;
 
-/// Returns the account of a routed request's token, or `None` if the request has no token
-/// or its route checks none; calls from targets have no token.
+/// Returns the account of a routed request's token, or `None` if the request has no token, its
+/// route is public or there are no accounts. Calls from targets have no token.
 ///
 /// # Errors
 ///
-/// Returns an error if the route requires a valid token and the request's belongs to no
+/// Returns an error if the route requires a valid token and the request's token belongs to no
 /// account.
 fn authenticate_routed<'a>(
     config: &'a FleetConfig,
@@ -234,14 +239,19 @@
     (service, format!("{slash}{rest}"))
 }
 
-/// Returns the time that a call has, in milliseconds, or `None` if its deadline header is
-/// invalid.
+/// Returns the time that a call has until its deadline, in milliseconds, or `None` if its
+/// deadline header is invalid.
 fn parse_deadline(headers: &HeaderMap, default_ms: u32) -> Option<u32> {
     let Some(value) = headers.get(headers::DEADLINE_MS) else { return Some(default_ms) };
     let deadline_ms: u32 = value.to_str().ok()?.parse().ok()?;
     Some(deadline_ms.min(MAX_DEADLINE_MS))
 }
 
+/// Reads a request's body of at most `limit` bytes.
+///
+/// # Errors
+///
+/// Returns the response to a request whose body is too large, broken or too slow.
 async fn read_body(
     body: Incoming,
     headers: &HeaderMap,
@@ -269,7 +279,8 @@
     }
 }
 
-/// Derives the claim of a call's idempotency key; no other account can name its row.
+/// Derives the claim of a call's idempotency key. The row's name depends on the account, so no
+/// other account can name the row.
 fn make_claim(call: &CallerCall, key: &[u8]) -> KeyClaim {
     let row =
         hash_parts(&[call.account.as_str().as_bytes(), call.service.as_str().as_bytes(), key]);
--- a/src/call/entry/load_probe.rs
+++ b/src/call/entry/load_probe.rs
@@ -9,7 +9,7 @@
 use crate::base::wire::{self, GuardDatagram, GuardReply, ProbeRequest};
 use crate::call::entry::EntryDuty;
 
-/// Largest number of bytes by which a reply exceeds its request.
+/// Largest number of bytes by which a reply is longer than its request.
 const MAX_REPLY_EXCESS: u32 = 32;
 
 /// Probes the load of a random target of the service, if the budget allows it.
@@ -32,13 +32,13 @@
         target: record.name.clone(),
     };
     let Ok(bytes) = wire::encode(&GuardDatagram::Probe(request)) else { return };
-    let cost = bytes.len() as u32 * 2 + MAX_REPLY_EXCESS;
-    if !duty.probe_budget.borrow_mut().try_take(duty.clock.now(), 2, cost) {
+    let total_bytes = bytes.len() as u32 * 2 + MAX_REPLY_EXCESS;
+    if !duty.probe_budget.borrow_mut().try_take(duty.clock.now(), 2, total_bytes) {
         return;
     }
     if duty.probe_socket.try_send_to(&bytes, location.guard).is_ok() {
         duty.metrics.probe_messages.inc_by(2);
-        duty.metrics.probe_bytes.inc_by(u64::from(cost));
+        duty.metrics.probe_bytes.inc_by(u64::from(total_bytes));
     }
 }
 
--- a/src/call/entry/load_watch.rs
+++ b/src/call/entry/load_watch.rs
@@ -18,14 +18,14 @@
 
 /// Largest number of targets that one entry watches.
 ///
-/// In large fleets, load reports of the other targets arrive only with answers.
+/// In large fleets, the load of the other targets is known only from answers and probes.
 const MAX_WATCHED: usize = 48;
 
 /// Longest wait for the first report of a target; a guard sends it at once, so a longer
 /// wait means that its host or the network path is stalled.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Starts to watch a target, unless it or [`MAX_WATCHED`] targets are watched already.
+/// Starts to watch a target, unless it is watched already or [`MAX_WATCHED`] targets are.
 pub(crate) fn watch_target(
     duty: &Rc<EntryDuty>,
     service: &ServiceName,
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -24,9 +24,11 @@
 /// call that waits for it is late.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Long enough to survive two lost packets in a row. A call on a connection to a dead
-/// host is late anyway; the limit serves the calls after it.
-const KEEPALIVE: KeepaliveLimits =
+/// Limits after which a connection to an unresponsive guard breaks.
+///
+/// The user timeout is longer than the retransmission of two packets lost in a row takes. A
+/// call on a connection to a dead host is late anyway; the limits serve the calls after it.
+const KEEPALIVE_LIMITS: KeepaliveLimits =
     KeepaliveLimits { user_timeout: Duration::from_millis(900), idle: Duration::from_secs(2) };
 
 /// One HTTP/2 connection for each incarnation of each guard.
@@ -35,19 +37,20 @@
     /// Guards in other data centres.
     remote_guards: RefCell<HashSet<SocketAddr>>,
     /// Counts the bytes to and from guards in other data centres.
-    crossing_bytes: Option<IntCounter>,
+    cross_centre_bytes: Option<IntCounter>,
     connections: RefCell<HashMap<(SocketAddr, DaemonIncarnation), SendRequest<Bytes>>>,
 }
 
 impl GuardPool {
-    /// Creates a pool without connections; `crossing_bytes` counts the bytes to and from
+    /// Creates a pool without connections; `cross_centre_bytes` counts the bytes to and from
     /// other data centres.
-    pub(crate) fn open(crossing_bytes: IntCounter) -> Self {
-        Self { crossing_bytes: Some(crossing_bytes), ..Self::default() }
+    pub(crate) fn open(cross_centre_bytes: IntCounter) -> Self {
+        Self { cross_centre_bytes: Some(cross_centre_bytes), ..Self::default() }
     }
 
-    /// Returns a connection that accepts one more stream, or `None` if there is none in
-    /// time.
+    /// Returns a connection that accepts one more stream; opens one if necessary.
+    ///
+    /// Returns `None` if no connection can be opened in time.
     pub(crate) async fn connect(
         &self,
         guard: SocketAddr,
@@ -61,14 +64,15 @@
             return Some(ready);
         }
         let is_remote = self.remote_guards.borrow().contains(&guard);
-        let byte_counter = self.crossing_bytes.clone().filter(|_| is_remote);
+        let byte_counter = self.cross_centre_bytes.clone().filter(|_| is_remote);
         let opened =
             timeout(CONNECT_TIMEOUT, open_connection(guard, byte_counter)).await.ok()??;
         self.connections.borrow_mut().insert(key, opened.clone());
         opened.ready().await.ok()
     }
 
-    /// Sends a guard a request other than a call; returns the reader of its response.
+    /// Sends a guard a request other than a call; returns the reader of its response, or `None`
+    /// if it can't be reached.
     pub(crate) async fn request<T: Serialize>(
         &self,
         guard: SocketAddr,
@@ -112,7 +116,7 @@
 ) -> Option<SendRequest<Bytes>> {
     let socket = TcpStream::connect(guard).await.ok()?;
     socket.set_nodelay(true).ok()?;
-    enable_keepalive(&socket, &KEEPALIVE).ok()?;
+    enable_keepalive(&socket, &KEEPALIVE_LIMITS).ok()?;
     let (sender, connection) =
         h2io::client().handshake(CountedSocket::open(socket, byte_counter)).await.ok()?;
     spawn_local(async move { drop(connection.await) });
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts at the entry, which requests them from their holders.
+//! Client account quotas at the entry, which requests grants from the quotas' holders.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
     terms: Cell<QuotaTerms>,
     /// Granted requests that are not used yet, by account.
     credits: RefCell<HashMap<AccountName, QuotaCredit>>,
-    /// Receivers of the replies to requests in progress, by request number.
+    /// Channels for the replies to grant requests in progress, by the number of the request.
     pending: RefCell<HashMap<u64, oneshot::Sender<QuotaReply>>>,
     next_number: Cell<u64>,
     /// Holders that did not reply, with the time of the last timeout.
@@ -48,7 +48,7 @@
     Granted,
     /// No holder has quota left; one will after this many milliseconds.
     Exhausted(u32),
-    /// No daemon replied that holds the quota.
+    /// No daemon that holds the quota replied.
     Unreachable,
 }
 
@@ -115,12 +115,13 @@
         responses::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
     }
 
+    /// Calls `act` with the credit of an account, which is created if necessary.
     fn with_credit<T>(&self, account: &AccountName, act: impl FnOnce(&mut QuotaCredit) -> T) -> T {
         let mut credits = self.quotas.credits.borrow_mut();
         act(credits.entry(account.clone()).or_default())
     }
 
-    /// Asks the holders one after the other until one grants a request.
+    /// Asks the holders one after the other until one grants at least one request.
     async fn ask_holders(
         &self,
         account: &AccountName,
@@ -136,13 +137,13 @@
             };
             self.quotas.unresponsive.borrow_mut().remove(&host);
             if reply.granted > 0 {
-                // One grant is for the present request, the rest are for later ones.
+                // One granted request is the present one, the rest are for later ones.
                 self.with_credit(account, |credit| credit.add_grant(sent, reply.granted - 1));
                 return QuotaResult::Granted;
             }
             result = match (result, reply.wait_ms) {
-                (QuotaResult::Exhausted(shortest), Some(wait_ms)) => {
-                    QuotaResult::Exhausted(shortest.min(wait_ms))
+                (QuotaResult::Exhausted(shortest_ms), Some(wait_ms)) => {
+                    QuotaResult::Exhausted(shortest_ms.min(wait_ms))
                 }
                 (QuotaResult::Unreachable, Some(wait_ms)) => QuotaResult::Exhausted(wait_ms),
                 (result, _) => result,
@@ -175,6 +176,8 @@
         holders
     }
 
+    /// Requests a grant of `want` requests from a holder; returns `None` if it doesn't reply in
+    /// time.
     async fn ask_holder(
         &self,
         address: SocketAddr,
--- a/src/call/entry/route_stats.rs
+++ b/src/call/entry/route_stats.rs
@@ -1,4 +1,4 @@
-//! Work times and sizes of earlier calls by route, for choosing the target of the next.
+//! Work times and sizes of earlier calls by route, from which targets are chosen for later calls.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 const MAX_ROUTES: usize = 4_096;
 
 /// Assumed work time of an unknown route, as a fraction of its latency objective: operators
-/// set objectives of a few times the work.
+/// set objectives of a few times the work time.
 const DEFAULT_WORK_FRACTION: f64 = 1.0 / 3.0;
 
 /// Size of the heads of a request and its response between two daemons, in bytes.
@@ -35,7 +35,8 @@
 }
 
 impl RouteStats {
-    /// Records an answered call: the work time at its target and its size in bytes.
+    /// Records an answered call: its work time at the usual speed of its target in microseconds,
+    /// and its size in bytes without heads.
     pub(crate) fn record(&mut self, route: &str, work_us: u32, bytes: u64) {
         let newest = RouteAverages { work_us: f64::from(work_us), bytes: bytes as f64 };
         if let Some(known) = self.routes.get_mut(route) {
@@ -60,10 +61,10 @@
         self.routes.contains_key(route)
     }
 
-    /// Returns the estimate of a call from which its target is chosen.
+    /// Returns the estimate of a call by which its target is chosen.
     ///
     /// `left` is the time left until its objective, `crossing_cost` the cost of sending 1000
-    /// bytes between data centres.
+    /// bytes between data centres, as a fraction of one call's benefit.
     pub(crate) fn estimate(
         &self,
         options: &CallOptions,
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns how long a connection may stay open without a complete request head: the idle
-    /// time between two requests and the time to send a head.
+    /// time between two requests and the time to send a head, at least [`SENDER_TIMEOUT`].
     fn head_timeout(&self) -> Duration {
         let active = self.active.borrow();
         let Some(active) = active.as_ref() else { return SENDER_TIMEOUT };
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Adapts the head of a response to what callers expect in this deployment.
+    /// Adapts the head of a response to what callers in this deployment expect.
     fn finish_head(&self, response: &mut Response<ResponseBody>) {
         let headers = response.headers_mut();
         let retry_ms = headers::get_str(headers, headers::RETRY_AFTER_MS);
@@ -120,7 +120,7 @@
             headers.insert(RETRY_AFTER, self.retry_after(ms));
         }
         if !self.names.railspan_headers {
-            for name in headers::OWN_RESPONSE_HEADERS {
+            for name in headers::RAILSPAN_RESPONSE_HEADERS {
                 headers.remove(*name);
             }
         }
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Returns the value of `Retry-After` in seconds, with fractions if callers accept them.
+    /// Returns the value of `Retry-After` in seconds: with fractions if callers accept them,
+    /// otherwise rounded up and at least 1.
     fn retry_after(&self, ms: u32) -> HeaderValue {
         let whole_seconds = HeaderValue::from(ms.div_ceil(1_000).max(1));
         if !self.names.fractional_retry_after {
--- a/src/call/headers.rs
+++ b/src/call/headers.rs
@@ -25,10 +25,10 @@
 /// Idempotency key that callers set on a call that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Names of the headers that carry railspan's metadata.
+/// Names of the headers that carry railspan's metadata, and how they are used.
 ///
-/// A deployment's platform may use other names for the same meanings. `None` means that
-/// the header isn't used.
+/// The platform of a deployment may use its own names for headers of the same meaning. `None`
+/// means that the header isn't used.
 #[derive(Debug)]
 pub struct HeaderNames {
     /// Time left until the deadline, in milliseconds; sent by callers, and to targets.
@@ -43,8 +43,8 @@
     pub expected_target: Option<&'static str>,
     /// Target that responded, set by that target.
     pub responding_target: Option<&'static str>,
-    /// Signature that a target sets on a complete response; a success response without
-    /// one doesn't count as a success.
+    /// Signature that a target sets on a complete response; a response with a success status
+    /// but without a signature doesn't count as a success.
     pub signature: Option<&'static str>,
     /// Set by a target that did not run the request.
     pub not_executed: Option<&'static str>,
@@ -61,7 +61,7 @@
     pub railspan_headers: bool,
 }
 
-/// Header names without a deployment.
+/// Header names outside of a deployment.
 pub const DEFAULT_HEADER_NAMES: HeaderNames = HeaderNames {
     deadline_ms: DEADLINE_MS,
     request_id: None,
@@ -99,7 +99,7 @@
 }
 
 /// `railspan-` response headers, removed where a deployment doesn't use them.
-pub(crate) const OWN_RESPONSE_HEADERS: &[&str] =
+pub(crate) const RAILSPAN_RESPONSE_HEADERS: &[&str] =
     &[OUTCOME, REASON, RETRY_AFTER_MS, TARGET, RECORDED];
 
 /// Headers of one connection (RFC 9110, section 7.6.1) or of message framing.
@@ -141,15 +141,17 @@
     list
 }
 
+/// Returns the headers that are forwarded in either direction: neither those of one connection
+/// nor railspan's own.
 fn forward(headers: &HeaderMap) -> HeaderList {
     let connection_headers = connection_headers(headers);
     headers
         .iter()
         .filter(|(name, _)| {
             let name = name.as_str();
-            let railspan = name.starts_with("railspan-");
+            let is_railspan = name.starts_with("railspan-");
             !HOP_BY_HOP.contains(&name)
-                && !railspan
+                && !is_railspan
                 && !connection_headers.iter().any(|other| other == name)
         })
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
--- a/src/call/keepalive.rs
+++ b/src/call/keepalive.rs
@@ -10,7 +10,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time after which a connection to an unresponsive peer breaks.
+/// Limits after which a connection to an unresponsive peer breaks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepaliveLimits {
     /// Longest time that sent bytes may stay unacknowledged.
@@ -20,7 +20,8 @@
     pub(crate) idle: Duration,
 }
 
-/// Interval between keepalive probes, and how many may stay unanswered.
+/// Interval between keepalive probes, and how many may stay unanswered before the connection
+/// breaks.
 pub(crate) const KEEPALIVE_PROBES: (Duration, u32) = (Duration::from_secs(1), 2);
 
 /// Makes a connection break soon after its peer stops responding.
--- a/src/call/responses.rs
+++ b/src/call/responses.rs
@@ -56,7 +56,7 @@
     Streamed(GuardBody),
 }
 
-/// A body that is streamed from a guard and checked against its expected length.
+/// A body that is streamed from a guard and checked against the length in its head, if known.
 pub(crate) struct GuardBody {
     /// Bytes that were read together with the head.
     buffered: Bytes,
@@ -78,6 +78,7 @@
         Self { buffered, stream, remaining: length, on_end: Some(on_end) }
     }
 
+    /// Polls for the next chunk of the body; `None` if the body ended at its expected length.
     fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
@@ -224,6 +225,7 @@
     response
 }
 
+/// Creates a response with a JSON body that states the outcome and the reason.
 fn generated_response(
     status: StatusCode,
     outcome: CallOutcome,
