--- a/src/call/guard/call_admission.rs
+++ b/src/call/guard/call_admission.rs
@@ -90,9 +90,12 @@
         }
     }
 
-    /// Admits a call up to its dispatch; `Err` holds the answer for one that did not run.
+    /// Admits a call up to its dispatch; returns the claim of its idempotency key, if it has one.
     ///
-    /// `Err(None)` means that the entry reset the stream, so nobody waits for an answer.
+    /// # Errors
+    ///
+    /// Returns the answer to a call that did not run, or `None` if the entry reset the stream,
+    /// so that nobody waits for an answer.
     async fn admit(
         &self,
         call: &ServedCall,
@@ -105,7 +108,7 @@
         if !self.ledger.borrow_mut().arrive(self.clock.now(), head.call) {
             return Err(Some(self.refusal(call, RefusalReason::Revoked, UNAVAILABLE_RETRY_MS)));
         }
-        self.record_suspects(&[SuspectUpdate { digest: head.digest, record: head.suspect }]);
+        self.merge_suspects(&[SuspectUpdate { digest: head.digest, record: head.suspect }]);
         let lock = self.wait_for_exclusive_run(call).await;
         let lock = lock.map_err(|reason| {
             self.prevent_dispatch(call);
@@ -133,9 +136,9 @@
             None => None,
         };
         let in_time = self.clock.now() < call.deadline;
-        // Checks the request's record again: it may have changed while the call waited.
-        let begun = self.begin_run(call);
-        if begun.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
+        // Checks the request's crash record again: it may have changed while the call waited.
+        let run_begun = self.begin_run(call);
+        if run_begun.is_ok() && in_time && self.ledger.borrow_mut().dispatch(head.call) {
             return Ok(claim);
         }
         self.end_run(call, RunOutcome::NotRun);
@@ -147,12 +150,12 @@
             });
         }
         self.prevent_dispatch(call);
-        let fallback = if in_time { RefusalReason::Revoked } else { RefusalReason::TooLate };
-        let reason = begun.err().unwrap_or(fallback);
+        let other_reason = if in_time { RefusalReason::Revoked } else { RefusalReason::TooLate };
+        let reason = run_begun.err().unwrap_or(other_reason);
         Err(Some(self.refusal(call, reason, UNAVAILABLE_RETRY_MS)))
     }
 
-    /// Puts a call in its target's queue; the receiver gets the admission decision.
+    /// Puts a call in its target's admission queue; the receiver gets the admission decision.
     fn enqueue(&self, call: &ServedCall, head: &CallHead) -> oneshot::Receiver<AdmissionDecision> {
         let (waiter, decision) = oneshot::channel();
         self.waiters.borrow_mut().insert(head.call, waiter);
@@ -180,8 +183,12 @@
         self.ledger.borrow_mut().revoke(self.clock.now(), call.call);
     }
 
-    /// Writes the claim of a call with an idempotency key; the call keeps its slot
-    /// meanwhile.
+    /// Writes the claim of a call with an idempotency key; the call keeps its slot meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// Returns the answer to the call if the key is claimed by an earlier call, or if the claim
+    /// could not be written.
     async fn claim(
         &self,
         call: &ServedCall,
@@ -227,7 +234,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the stream breaks, or when the body is longer than `max_body` bytes.
+/// Returns an error if the stream breaks or the body is longer than `max_body` bytes.
 async fn receive_call(
     reader: &mut HeadReader,
     max_body: usize,
--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -29,7 +29,7 @@
 /// millisecond.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Interval between liveness checks while the result is unclear.
+/// Interval between liveness checks while their result is unknown.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum number of liveness checks; together they take longer than a target is likely
@@ -42,12 +42,12 @@
 type TargetKey = (ServiceName, TargetName);
 
 impl GuardDuty {
-    /// Merges notices about suspected requests into what is known.
-    pub(crate) fn record_suspects(&self, notices: &[SuspectUpdate]) {
+    /// Merges updates of crash records into this guard's records.
+    pub(crate) fn merge_suspects(&self, updates: &[SuspectUpdate]) {
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        for notice in notices {
-            suspects.merge(now, *notice);
+        for update in updates {
+            suspects.merge(now, *update);
         }
     }
 
@@ -56,10 +56,15 @@
         self.suspects.borrow().record(digest)
     }
 
-    /// Waits until a suspected call may run on its target.
+    /// Waits until a suspected call may run on its target; returns the lock that it holds
+    /// meanwhile, or `None` if it needs none.
     ///
-    /// Calls whose requests are suspected of several crashes run one at a time, so that
-    /// the next crash identifies the request at fault.
+    /// Calls whose requests are suspected of several crashes run one at a time, so that the next
+    /// crash identifies the request at fault.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for a refusal if the target is gone or the call waited too long.
     pub(super) async fn wait_for_exclusive_run(
         &self,
         call: &ServedCall,
@@ -75,7 +80,11 @@
         lock.map(Some).map_err(|_elapsed| RefusalReason::TooLate)
     }
 
-    /// Records that a call starts to run; refuses it if its request is blamed for crashes.
+    /// Records that a call starts to run.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for a refusal if the request is blamed for crashes.
     pub(super) fn begin_run(&self, call: &ServedCall) -> Result<(), RefusalReason> {
         let record_at_start = self.suspect_record(call.digest);
         if record_at_start.is_blamed() {
@@ -89,7 +98,7 @@
         Ok(())
     }
 
-    /// Records how a run ended; an answer from the target clears its request of suspicion.
+    /// Records how a run ended; an answer from the target clears the request of suspicion.
     pub(super) fn end_run(&self, call: &ServedCall, outcome: RunOutcome) {
         let now = self.clock.now();
         if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
@@ -147,7 +156,7 @@
         Some(crash_check)
     }
 
-    /// Checks in the background whether a target that accepted no connection ended.
+    /// Checks in the background whether a target to which a call could not be sent has ended.
     pub(super) fn check_for_crash(self: &Rc<Self>, key: &TargetKey) {
         drop(self.start_crash_check(key));
     }
@@ -163,31 +172,31 @@
     /// Marks the requests that ran on a target as suspects when it ends unannounced.
     pub(super) fn suspect_running(&self, key: &TargetKey) {
         let now = self.clock.now();
-        let notices = self.targets.borrow_mut().get_mut(key).map(|target| target.end_runs(now));
-        self.report_suspects(&key.1, notices.unwrap_or_default());
+        let updates = self.targets.borrow_mut().get_mut(key).map(|target| target.end_runs(now));
+        self.report_suspects(&key.1, updates.unwrap_or_default());
     }
 
     /// Logs and publishes which requests ran on a target when it crashed.
-    pub(super) fn report_suspects(&self, target: &TargetName, notices: Vec<SuspectUpdate>) {
-        if notices.is_empty() {
+    pub(super) fn report_suspects(&self, target: &TargetName, updates: Vec<SuspectUpdate>) {
+        if updates.is_empty() {
             return;
         }
         self.metrics.target_crashes.inc();
-        let digests: Vec<String> = notices
+        let digests: Vec<String> = updates
             .iter()
             .take(MAX_LOGGED_DIGESTS)
-            .map(|notice| notice.digest.to_string())
+            .map(|update| update.digest.to_string())
             .collect();
-        let crashes = notices.iter().map(|notice| notice.record.crashes).max();
-        info!(self.logger, "target crashed"; "target" => %target, "calls" => notices.len(),
+        let crashes = updates.iter().map(|update| update.record.crashes).max();
+        info!(self.logger, "target crashed"; "target" => %target, "calls" => updates.len(),
             "crashes" => crashes, "digests" => digests.join(" "));
-        self.publish_suspects(notices);
+        self.publish_suspects(updates);
     }
 
-    fn publish_suspects(&self, notices: Vec<SuspectUpdate>) {
-        self.record_suspects(&notices);
+    fn publish_suspects(&self, updates: Vec<SuspectUpdate>) {
+        self.merge_suspects(&updates);
         let source = SuspectSource::Guard;
-        if self.rings.peers.push(PeersEvent::Suspects { notices, source }).is_err() {
+        if self.rings.peers.push(PeersEvent::Suspects { updates, source }).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
     }
@@ -198,7 +207,7 @@
 pub(super) enum RunOutcome {
     /// The target answered, so it survived the request.
     Answered,
-    /// The target did not run it, as it reports itself, or never received it.
+    /// The target reports that it did not run the request, or never received it.
     NotRun,
     /// The outcome is unknown; the request may still be running.
     Unanswered,
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -35,13 +35,14 @@
     pub(crate) published_remote_load: LoadReport,
     /// Calls that run on the target.
     pub(crate) running_requests: RunningRequests,
-    /// Held by a suspected call while it runs, so that only one does at a time.
+    /// Held by a call whose request is suspected of several crashes while it runs, so that only
+    /// one of them runs at a time.
     pub(crate) exclusive_run: Arc<Mutex<()>>,
     /// Latest crash check; `true` while it is in progress.
     pub(crate) crash_check: Option<watch::Receiver<bool>>,
     /// Arrival time of the last call.
     pub(crate) last_call_at: MicroTime,
-    /// When the target last reported its slowness, or was last asked for it.
+    /// Time at which the target last reported its slowness or was last asked for it.
     pub(crate) slowness_updated_at: MicroTime,
 }
 
@@ -99,14 +100,14 @@
         *self.queue.cold_start_mut() = cold;
     }
 
-    /// Records the end of the target's incarnation and returns the requests that ran on
-    /// it.
+    /// Records the end of the target's incarnation; returns the crash records of the requests
+    /// that ran on it.
     ///
-    /// Returns no requests if the target had announced its end, since that is no crash.
+    /// Returns none if the target had announced its end, since that is no crash.
     pub(crate) fn end_runs(&mut self, now: MicroTime) -> Vec<SuspectUpdate> {
-        let mut notices = self.running_requests.target_ended(now);
-        notices.retain(|_notice| !self.lease.is_leaving());
-        notices
+        let mut updates = self.running_requests.target_ended(now);
+        updates.retain(|_update| !self.lease.is_leaving());
+        updates
     }
 
     /// Returns the number of calls that run on the target.
@@ -119,7 +120,7 @@
         !self.queue.is_leaving()
     }
 
-    /// Returns the inputs of the guard's decisions about the target.
+    /// Returns the inputs of the guard's decisions about the target, as JSON.
     pub(crate) fn dump(&self, now: MicroTime) -> Value {
         json!({
             "announcement": self.announcement,
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -57,7 +57,8 @@
 /// Interval between checks of leases and deadlines.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Retry delay for calls to a target that is leaving or gone, in milliseconds.
+/// Retry delay for calls that the guard refuses without an estimate of the wait, such as those
+/// to a target that is leaving or gone, in milliseconds.
 pub(crate) const UNAVAILABLE_RETRY_MS: u32 = 200;
 
 /// Ring buffers to the duties that the guard sends events to.
@@ -80,7 +81,7 @@
     pub(crate) own_target: Option<SocketAddr>,
     /// Time for which a target's heartbeat stays valid.
     pub(crate) target_lease: Duration,
-    /// Calls that cold targets may get in excess of their configured rate.
+    /// Tolerance above the configured call rate of cold targets.
     pub(crate) cold_terms: ColdTerms,
     /// Tolerances with which quotas are enforced.
     pub(crate) quota_terms: QuotaTerms,
@@ -91,8 +92,8 @@
     pub(crate) socket: std::net::UdpSocket,
 }
 
-/// Outcome of a call's wait for a slot: `Ok` if it may start, else the reason and the
-/// retry delay in milliseconds.
+/// Outcome of a call's wait for a slot: `Ok` if the call may start, otherwise the reason for its
+/// refusal and the retry delay in milliseconds.
 pub(crate) type AdmissionDecision = Result<(), (RefusalReason, u32)>;
 
 /// State of the guard duty.
@@ -106,6 +107,7 @@
     /// Targets that ended, the most recent last; their late heartbeats are ignored.
     pub(crate) ended: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
     pub(crate) ledger: RefCell<CallLedger>,
+    /// Channels for the admission decisions, by waiting call.
     pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<AdmissionDecision>>>,
     /// Requests suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashSuspects>,
@@ -115,7 +117,7 @@
     pub(crate) connections: Rc<TargetConnections>,
     pub(crate) names: &'static HeaderNames,
     own_service: Option<ServiceName>,
-    /// Active configuration; none until the first one arrives.
+    /// Active configuration; `None` until the first one arrives.
     pub(crate) config: RefCell<Option<Arc<FleetConfig>>>,
     pub(crate) target_lease: Cell<Duration>,
     pub(crate) cold_terms: Cell<ColdTerms>,
@@ -206,7 +208,7 @@
                 self.update_cold_rates();
             }
             GuardEvent::Evacuated(evacuated) => self.set_evacuated(evacuated),
-            GuardEvent::Suspects(notices) => self.record_suspects(&notices),
+            GuardEvent::Suspects(updates) => self.merge_suspects(&updates),
             GuardEvent::Report { report, reply } => {
                 self.handle_report(report);
                 _ = reply.send(());
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Returns whether the active configuration names a service; true if there is none yet.
+    /// Returns whether the active configuration contains a service; true while there is no
+    /// configuration.
     fn is_configured(&self, service: &ServiceName) -> bool {
         self.config.borrow().as_ref().is_none_or(|config| config.has_service(service))
     }
@@ -93,10 +94,10 @@
         true
     }
 
-    /// Ends earlier targets at an announcement's address.
+    /// Ends the other targets at an announcement's address that started earlier.
     ///
-    /// Returns `false` if a target that started later uses the address: then the
-    /// announcement is late.
+    /// Returns `false` if a target that started later uses the address: then the announcement
+    /// is late.
     fn displace_earlier_targets(
         &self,
         announcement: &TargetAnnouncement,
@@ -122,7 +123,7 @@
         true
     }
 
-    /// Returns the incarnation that an announcement is from, unless it has ended already.
+    /// Returns the incarnation that an announcement is from, or `None` if it has ended already.
     fn incarnation_of(
         &self,
         name: &TargetName,
@@ -214,15 +215,15 @@
     /// Publishes the host's targets and their readiness to the peers.
     fn advertise_targets(&self) {
         let targets = self.targets.borrow();
-        let notices = targets.values().map(|target| AdvertisedTarget {
+        let advertised = targets.values().map(|target| AdvertisedTarget {
             service: target.announcement.service.clone(),
             name: target.announcement.target.clone(),
             slots: target.announcement.slots,
             ready: target.advertised_ready,
         });
-        let mut notices: Vec<AdvertisedTarget> = notices.collect();
-        notices.sort_by(|a, b| a.name.cmp(&b.name));
-        if self.rings.peers.push(PeersEvent::LocalTargets(notices)).is_err() {
+        let mut advertised: Vec<AdvertisedTarget> = advertised.collect();
+        advertised.sort_by(|a, b| a.name.cmp(&b.name));
+        if self.rings.peers.push(PeersEvent::LocalTargets(advertised)).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -109,7 +109,7 @@
             return;
         }
         info!(self.logger, "blamed requests read"; "count" => notices.len());
-        let event = PeersEvent::Suspects { notices, source: SuspectSource::Store };
+        let event = PeersEvent::Suspects { updates: notices, source: SuspectSource::Store };
         if self.rings.peers.push(event).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -89,7 +89,8 @@
 /// Events for the peers duty.
 #[derive(Debug)]
 pub(crate) enum PeersEvent {
-    /// Members read from the table; none, with `reached` unset, if it is unavailable.
+    /// Members that were read from the table; if it is unavailable, `reached` is false and there
+    /// are none.
     Bootstrap { members: Vec<MemberRecord>, reached: bool },
     /// This daemon lost its connection to the platform's store (`true`), or regained it.
     StoreLost(bool),
@@ -98,7 +99,7 @@
     /// Evacuations that were read from the store.
     Evacuation(EvacuationState),
     /// The records of suspected requests changed: on this host or in the store.
-    Suspects { notices: Vec<SuspectUpdate>, source: SuspectSource },
+    Suspects { updates: Vec<SuspectUpdate>, source: SuspectSource },
     /// An operator clears a request of suspicion; reply whether it was suspected.
     Forgive { digest: RequestDigest, reply: oneshot::Sender<bool> },
     /// A call could not reach a host.
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -165,7 +165,7 @@
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Evacuation(notice) => self.step(MembershipEvent::Evacuation(notice)),
-            PeersEvent::Suspects { notices, source } => self.apply_suspects(notices, source),
+            PeersEvent::Suspects { updates, source } => self.apply_suspects(updates, source),
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
             // A daemon that receives no messages is itself cut off, so the report is no sign of
             // a failed host.
