--- a/src/call/guard/cold_targets.rs
+++ b/src/call/guard/cold_targets.rs
@@ -34,12 +34,13 @@
             config.as_ref().and_then(|config| config.cold_start(&target.announcement.service));
         let max_rate = start
             .map(|start| self.cold_terms.get().max_rate(f64::from(start.per_1000_s) / 1_000.0));
-        // The rate that a cold target can take is unknown until the first configuration.
+        // The rate that a cold target sustains is unknown until the first configuration, so the
+        // lowest limit applies until then.
         let max_rate = if config.is_some() { max_rate } else { Some(0) };
         target.queue.cold_start_mut().set_max_rate(max_rate);
     }
 
-    /// Updates how much longer a target reports to stay cold; zero means that it is warm.
+    /// Applies a target's report of how much longer it stays cold; zero means that it is warm.
     pub(super) fn update_cold_remaining(
         &self,
         key: &(ServiceName, TargetName),
@@ -84,8 +85,8 @@
 
     /// Sets whether the host's data centre is evacuated; no call starts here while it is.
     ///
-    /// The targets may be cold after an evacuation, so they count as cold until they
-    /// report otherwise.
+    /// The targets may be cold after an evacuation, so they count as cold until they report
+    /// otherwise.
     pub(super) fn set_evacuated(&self, evacuated: bool) {
         if self.evacuated.replace(evacuated) == evacuated {
             return;
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams from entries: load probes of a target and requests for a part of a quota.
+//! Datagrams from entries: load probes of a target, and requests for grants of a quota.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 impl GuardDuty {
     /// Answers the entries' datagrams.
     ///
-    /// Sending is best effort: an entry repeats its request, or does without the answer.
+    /// Replies may be lost: an entry repeats its request, or does without the reply.
     pub(super) async fn answer_datagrams(self: Rc<Self>, socket: UdpSocket) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -2,8 +2,8 @@
 //! slowness.
 //!
 //! Answers to calls carry the same report, but arrive late from a target that has just
-//! become slow. A health check is sent only if no report came for a while and the target
-//! is in use: it is answered at once and cheap, but not free.
+//! become slow, whereas a health check is answered at once. It is cheap but not free, so it is
+//! sent only if no report came for a while and the target is in use.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -29,17 +29,18 @@
 /// Time for which a target counts as in use after its last call.
 const IN_USE_WINDOW: MicroTime = MicroTime::from_millis(1_000);
 
-/// Interval between health checks of a target that is assumed cold until it answers:
-/// as short as the shortest one for targets in use.
+/// Interval between health checks of a target that is assumed cold until it answers: as short
+/// as the shortest interval for targets in use.
 const ASSUMED_COLD_INTERVAL: MicroTime = MicroTime::from_millis(40);
 
-/// Maximum wait for an answer: a later one would be out of date.
+/// Maximum wait for the answer to a health check: a later one would be out of date.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Interval between attempts to discover the target after the daemon's start.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Discovery attempts, after which the guard relies on the target's heartbeat.
+/// Maximum number of attempts to discover the target; after them the guard waits for its
+/// heartbeat.
 const DISCOVERY_ATTEMPTS: u32 = 30;
 
 /// Sends health checks to targets in use whose last known slowness is out of date.
@@ -64,6 +65,8 @@
     }
 }
 
+/// Sends a health check to a target and applies its answer; without one, the target counts as
+/// cold.
 async fn poll_target(
     duty: Rc<GuardDuty>,
     key: (ServiceName, TargetName),
@@ -75,8 +78,8 @@
         return;
     };
     let names = duty.names;
-    let sender = names.responding_target.and_then(|name| headers::get_str(&reply.headers, name));
-    if sender.is_some_and(|name| name != key.1.as_str()) {
+    let responder = names.responding_target.and_then(|name| headers::get_str(&reply.headers, name));
+    if responder.is_some_and(|name| name != key.1.as_str()) {
         return;
     }
     duty.update_cold_remaining(
@@ -92,8 +95,8 @@
 }
 
 /// Reads how much longer a target stays cold; zero if the header is missing or invalid.
-fn parse_cold_remaining(answer: &HeaderMap, names: &HeaderNames) -> Duration {
-    let text = names.cold_remaining_ms.and_then(|name| headers::get_str(answer, name));
+fn parse_cold_remaining(answer_headers: &HeaderMap, names: &HeaderNames) -> Duration {
+    let text = names.cold_remaining_ms.and_then(|name| headers::get_str(answer_headers, name));
     let left_ms = text.and_then(|text| text.trim().parse::<f64>().ok()).unwrap_or_default();
     Duration::try_from_secs_f64(left_ms / 1_000.0).unwrap_or_default()
 }
@@ -131,12 +134,12 @@
 /// Makes a target's announcement from the headers of a health check's answer.
 fn read_announcement(
     duty: &GuardDuty,
-    answer: &HeaderMap,
+    answer_headers: &HeaderMap,
     service: &ServiceName,
     address: SocketAddr,
 ) -> Option<TargetAnnouncement> {
-    let name = headers::get_str(answer, duty.names.responding_target?)?;
-    let slots = target_call::parse_slots(answer, duty.names)?;
+    let name = headers::get_str(answer_headers, duty.names.responding_target?)?;
+    let slots = target_call::parse_slots(answer_headers, duty.names)?;
     Some(TargetAnnouncement {
         service: service.clone(),
         target: TargetName::from(name),
@@ -149,7 +152,7 @@
 /// Result of a liveness check of a target that lost a call or accepted no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TargetLiveness {
-    /// The target answers, so only the connection was lost.
+    /// The target answers; only the connection was lost.
     Running,
     /// Nothing listens at its address, or another target does.
     Ended,
@@ -157,7 +160,7 @@
     Unknown,
 }
 
-/// Checks whether a target still runs under its address.
+/// Checks whether a target still runs at its address.
 pub(super) async fn check_liveness(
     duty: &GuardDuty,
     key: &(ServiceName, TargetName),
@@ -168,9 +171,9 @@
         && let Some(reply) = fetch_health(duty, address, &path).await
     {
         let name = duty.names.responding_target;
-        let sender = name.and_then(|name| headers::get_str(&reply.headers, name));
-        let same = sender.is_none_or(|sender| sender == key.1.as_str());
-        return if same { TargetLiveness::Running } else { TargetLiveness::Ended };
+        let responder = name.and_then(|name| headers::get_str(&reply.headers, name));
+        let is_same = responder.is_none_or(|responder| responder == key.1.as_str());
+        return if is_same { TargetLiveness::Running } else { TargetLiveness::Ended };
     }
     match TcpStream::connect(address).await {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => TargetLiveness::Ended,
--- a/src/call/guard/load_reports.rs
+++ b/src/call/guard/load_reports.rs
@@ -20,7 +20,7 @@
 use crate::base::wire::{LoadReport, WatchHead};
 use crate::decide::report_pacer::ReportPacer;
 
-/// Length of one report on its stream with its frame, in bytes.
+/// Length of one report on its stream, including its frame, in bytes.
 const REPORT_BYTES: u64 = 50;
 
 /// Reports that one guard sends within its data centre, in bytes per second. Together
@@ -34,16 +34,16 @@
 /// while it keeps calling, and the traffic doesn't grow with entries that have stopped.
 const MAX_REMOTE_REPORTS: u32 = 8;
 
-/// Smallest significant change in slowness, in percent of its value.
+/// Change in slowness above which a report is sent, in percent of the published slowness.
 const SLOWNESS_STEP: u16 = 20;
 
 /// Number of occupancy levels from an idle target to one whose slots are all in use.
 const OCCUPANCY_STEPS: u16 = 4;
 
-/// Smallest significant change in a cold target's capacity, in calls.
-const ROOM_STEP: u16 = 8;
+/// Unit in which changes of a cold target's allowance are reported, in calls.
+const COLD_ALLOWANCE_STEP: u16 = 8;
 
-/// The entries that watch a guard from its own or from other data centres.
+/// The entries that watch a guard either from its own data centre or from the others.
 pub(crate) struct WatcherGroup {
     changes: watch::Sender<()>,
     pacer: RefCell<ReportPacer>,
@@ -61,7 +61,8 @@
         Self { changes: watch::Sender::new(()), pacer }
     }
 
-    /// Reserves the bytes for a report to the whole group, if the budget allows one now.
+    /// Reserves the bytes for a report to the whole group; returns `false` if the budget doesn't
+    /// allow one now.
     fn try_reserve(&self, now: MicroTime) -> bool {
         let bytes = self.changes.receiver_count() as u64 * REPORT_BYTES;
         self.pacer.borrow_mut().try_take(now, bytes)
@@ -78,14 +79,16 @@
 }
 
 impl GuardDuty {
-    /// Sends reports to the watchers if a target's load changed significantly.
+    /// Sends reports to the watchers if a target's load changed significantly, as far as the byte
+    /// budgets allow.
     pub(crate) fn notify_watchers(&self, now: MicroTime) {
         let GuardWatchers { local, remote } = &self.watchers;
         self.notify_group(now, local, |target| &mut target.published_local_load);
         self.notify_group(now, remote, |target| &mut target.published_remote_load);
     }
 
-    /// Wakes the streams of one group; `published` returns the load last sent to it.
+    /// Wakes the streams of one group if a load changed; `published` returns the load that was
+    /// last sent to the group.
     fn notify_group(
         &self,
         now: MicroTime,
@@ -113,13 +116,15 @@
     let slowness_changed =
         u32::from(difference) * 100 > u32::from(published.slowness) * u32::from(SLOWNESS_STEP);
     let occupancy_changed = occupancy(published) != occupancy(now) || published.slots != now.slots;
-    slowness_changed || occupancy_changed || room_step(published) != room_step(now)
+    slowness_changed
+        || occupancy_changed
+        || cold_allowance_step(published) != cold_allowance_step(now)
 }
 
-/// Returns the free capacity of a cold target in units of [`ROOM_STEP`], rounded up so
-/// that none and some differ.
-fn room_step(load: &LoadReport) -> Option<u16> {
-    load.cold.map(|cold| cold.available.div_ceil(ROOM_STEP))
+/// Returns a cold target's allowance in units of [`COLD_ALLOWANCE_STEP`], rounded up so that no
+/// allowance and a small one differ; `None` if the target isn't cold.
+fn cold_allowance_step(load: &LoadReport) -> Option<u16> {
+    load.cold.map(|cold| cold.available.div_ceil(COLD_ALLOWANCE_STEP))
 }
 
 /// Returns the occupancy level of a target; waiting calls can raise it above
@@ -128,8 +133,8 @@
     (load.in_flight + load.queued) * OCCUPANCY_STEPS / load.slots.max(1)
 }
 
-/// Sends load reports of a target to an entry for as long as the entry listens, but at
-/// most [`MAX_REMOTE_REPORTS`] to one in another data centre.
+/// Sends load reports of a target to an entry for as long as the entry receives them, but at
+/// most [`MAX_REMOTE_REPORTS`] to an entry in another data centre.
 pub(crate) async fn stream_reports(
     duty: &GuardDuty,
     mut reader: HeadReader,
--- a/src/call/guard/quota.rs
+++ b/src/call/guard/quota.rs
@@ -24,7 +24,7 @@
 }
 
 impl GuardQuotas {
-    /// Answers an entry's request for a part of an account's quota.
+    /// Answers an entry's request for a grant of an account's quota.
     pub(super) fn answer(&self, now: MicroTime, request: &QuotaRequest) -> QuotaReply {
         let QuotaRequest { account, want, settled, .. } = request;
         let grant = self.holder.borrow_mut().grant(now, account, *want, *settled);
--- a/src/call/guard/served_call/answer_relay.rs
+++ b/src/call/guard/served_call/answer_relay.rs
@@ -23,12 +23,13 @@
     pub(super) head: &'a CallHead,
     /// Handle for the response; taken when the answer's head is sent.
     pub(super) respond: Option<SendResponse<Bytes>>,
-    /// Stream for the answer's body; none before the head and after the entry has closed it.
+    /// Stream for the answer's body; `None` before the head is sent and after the stream was
+    /// closed.
     pub(super) stream: Option<SendStream<Bytes>>,
 }
 
 impl AnswerRelay<'_> {
-    /// Reports to the entry that the call is lost and no answer will follow.
+    /// Reports to the entry that the call is lost: it may have run, and no answer will follow.
     pub(super) async fn report_lost(&mut self) {
         let load = self.call.duty.load(&self.call.key);
         let suspect = self.call.duty.suspect_record(self.call.digest);
@@ -62,8 +63,8 @@
                     RefusalReason::Absent
                 }
                 AnswerClass::Mismatched => {
-                    // The answers on this connection no longer match the calls: dropping it
-                    // closes it.
+                    // The answers on this connection no longer match the calls, so it is
+                    // dropped, which closes it.
                     self.report_lost().await;
                     return CallStatus::Unknown;
                 }
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -31,7 +31,8 @@
 /// Time for which the answer to a non-repeatable call is awaited after its deadline.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Share of a target's slots that may wait for the table, as a divisor: one in three.
+/// Divisor for the number of a target's slots that may wait for the table: one in three, but at
+/// least two.
 const CLAIM_SLOTS_DIVISOR: usize = 3;
 
 /// A claim that the table accepted.
@@ -78,15 +79,16 @@
     pub(crate) deadline: MicroTime,
     /// Time at which the call is refused if it has no slot by then.
     pub(crate) queue_deadline: MicroTime,
-    /// Whether the call was put in the admission queue; late copies of a call never are.
+    /// Whether the call was put in the admission queue. A copy of an earlier call never is, so
+    /// that dropping the copy doesn't remove the earlier call.
     pub(crate) enqueued: Cell<bool>,
-    /// Held while a suspected call has its target's exclusive run.
+    /// Lock of the target's exclusive run, if the call needs it.
     pub(crate) exclusive_lock: RefCell<Option<OwnedMutexGuard<()>>>,
     /// Time at which the call got its slot.
     pub(crate) started_at: Cell<Option<MicroTime>>,
     /// Time at which the call was sent to the target.
     dispatched_at: Cell<Option<MicroTime>>,
-    /// Whether the call failed at the target.
+    /// Whether the call failed at the target, which counts against the target.
     failed: Cell<bool>,
 }
 
@@ -138,7 +140,8 @@
     fn work_us(&self) -> u32 {
         let now = self.duty.clock.now();
         let targets = self.duty.targets.borrow();
-        let slowness = targets.get(&self.key).map_or(1.0, |own| own.queue.slowness_of(self.call));
+        let slowness =
+            targets.get(&self.key).map_or(1.0, |target| target.queue.slowness_of(self.call));
         let ran = self.dispatched_at.get().map_or(MicroTime(0), |since| now.since(since));
         (ran.0 as f64 / slowness) as u32
     }
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Returns the run's outcome for suspicion of its request.
+    /// Returns the run's outcome as it matters for suspicion of the request.
     ///
     /// A server error doesn't clear the request: the target may have aborted the call at
     /// its deadline, before the call could crash it.
@@ -238,8 +241,8 @@
         target_call::read_start(response, connection).await
     }
 
-    /// Records the outcome of a call with an idempotency key for its repeats; a call that
-    /// did not run releases its key.
+    /// Writes the outcome of a call with an idempotency key to its claim, for repeats of the
+    /// call; a call that did not run releases its key.
     fn record(&self, claim: Option<HeldClaim>, status: &CallStatus) {
         let Some(HeldClaim { key, version, mut row }) = claim else { return };
         row.state = match status {
--- a/src/call/guard/target_call.rs
+++ b/src/call/guard/target_call.rs
@@ -12,7 +12,7 @@
 use crate::call::guard::target_connections::{BusyConnection, TargetFailure};
 use crate::call::headers::{self, HeaderNames};
 
-/// Number of values in a load header: running calls, waiting calls, slots, slowness in
+/// Number of values in a load header: running calls, waiting calls, slots, and slowness in
 /// percent.
 const LOAD_VALUES: usize = 4;
 
@@ -20,7 +20,7 @@
 pub(crate) struct TargetAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// Part of the body that has been read; all of it if `rest` is none.
+    /// Part of the body that has been read; all of it if `rest` is `None`.
     pub(crate) start: Bytes,
     /// Remainder of the body, if it was too long to be read at once.
     pub(crate) rest: Option<Incoming>,
@@ -77,36 +77,37 @@
 pub(crate) fn classify_answer(
     head: &CallHead,
     status: StatusCode,
-    answer: &HeaderMap,
+    answer_headers: &HeaderMap,
     names: &HeaderNames,
 ) -> AnswerClass {
     let id = names.request_id.and_then(|name| headers::find_str(&head.headers, name));
-    let echoed_id = names.request_id.and_then(|name| headers::get_str(answer, name));
+    let echoed_id = names.request_id.and_then(|name| headers::get_str(answer_headers, name));
     if id.is_some() && echoed_id.is_some() && id != echoed_id {
         return AnswerClass::Mismatched;
     }
     if names.expected_target.is_some() && status == StatusCode::MISDIRECTED_REQUEST {
         return AnswerClass::OtherTarget;
     }
-    if names.not_executed.is_some_and(|name| answer.contains_key(name)) {
+    if names.not_executed.is_some_and(|name| answer_headers.contains_key(name)) {
         return AnswerClass::NotRun;
     }
-    let signed = names.signature.is_none_or(|name| answer.contains_key(name));
+    let signed = names.signature.is_none_or(|name| answer_headers.contains_key(name));
     if status.is_success() && !(signed && echoed_id == id) {
         return AnswerClass::Mismatched;
     }
     AnswerClass::Answer
 }
 
-/// Reads how long work takes at the target now, in percent of the usual time.
-pub(crate) fn parse_slowness(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
-    let text = headers::get_str(answer, names.load?)?;
+/// Reads from the load header how long work takes at the target now, in percent of the usual
+/// time.
+pub(crate) fn parse_slowness(answer_headers: &HeaderMap, names: &HeaderNames) -> Option<u16> {
+    let text = headers::get_str(answer_headers, names.load?)?;
     text.split(',').nth(LOAD_VALUES - 1)?.trim().parse().ok()
 }
 
-/// Reads the number of calls that the target runs at once.
-pub(crate) fn parse_slots(answer: &HeaderMap, names: &HeaderNames) -> Option<u16> {
-    let text = headers::get_str(answer, names.load?)?;
+/// Reads from the load header how many calls the target runs at once.
+pub(crate) fn parse_slots(answer_headers: &HeaderMap, names: &HeaderNames) -> Option<u16> {
+    let text = headers::get_str(answer_headers, names.load?)?;
     text.split(',').nth(LOAD_VALUES - 2)?.trim().parse().ok()
 }
 
--- a/src/call/guard/target_connections.rs
+++ b/src/call/guard/target_connections.rs
@@ -28,14 +28,15 @@
 /// Margin by which a connection is given up before the target's own idle timeout.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// Maximum idle time of a connection that carries a non-repeatable call.
+/// Maximum idle time of a connection that is reused for a non-repeatable call.
 ///
-/// The target may have closed an idle connection unnoticed; then it is unknown whether
-/// the call ran. A new connection costs about a millisecond.
+/// The target may have closed an idle connection unnoticed, and then it is unknown whether the
+/// call ran. A new connection costs about a millisecond.
 const MAX_UNREPEATABLE_IDLE: Duration = Duration::from_secs(1);
 
-/// Timeouts for an unresponsive target. Nothing is lost on the way within a host: bytes
-/// that aren't acknowledged at once never will be.
+/// Limits after which a connection to an unresponsive target breaks.
+///
+/// No packets are lost within a host: bytes that aren't acknowledged at once never will be.
 const KEEPALIVE_LIMITS: KeepaliveLimits =
     KeepaliveLimits { user_timeout: Duration::from_millis(300), idle: Duration::from_secs(1) };
 
@@ -59,7 +60,8 @@
 
 /// Pool of idle connections to all targets of a host.
 pub(crate) struct TargetConnections {
-    /// Clock that counts time in suspension: a target may close connections meanwhile.
+    /// Clock that also advances while the host is suspended, since a target may close
+    /// connections in that time.
     clock: ProcessClock,
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
@@ -102,8 +104,8 @@
                     return Ok((response, BusyConnection { connections, address, sender }));
                 }
                 Err(mut error) => match error.take_message() {
-                    // The idle connection was closed before a byte was written: tries
-                    // another one.
+                    // The target closed the idle connection before a byte was written; the
+                    // next one is tried.
                     Some(_unsent) if !fresh => {}
                     Some(_unsent) => return Err(TargetFailure::NotSent),
                     None => return Err(TargetFailure::Broken),
@@ -136,7 +138,8 @@
 }
 
 impl BusyConnection {
-    /// Returns the connection to the pool; only valid once the answer was read completely.
+    /// Returns the connection to the pool. Must only be called once the answer has been read
+    /// completely.
     pub(crate) fn release(self, headers: &HeaderMap) {
         let Some(idle_timeout) = idle_timeout(headers) else { return };
         if self.sender.is_closed() {
