--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -117,12 +117,12 @@
         failed: false,
         unreachable: false,
     };
-    let left = call.deadline.since(now).duration();
-    if left.is_zero() {
+    let remaining = call.deadline.since(now).duration();
+    if remaining.is_zero() {
         let reason = RefusalReason::TooLate;
         return AttemptEnd::Refused { reason, retry_after_ms: ENTRY_REFUSAL_RETRY_MS };
     }
-    let deadline = Instant::now() + left;
+    let deadline = Instant::now() + remaining;
     let Some(sender) = connect(duty, location, deadline).await else {
         outstanding.mark_unreachable(location);
         return AttemptEnd::unreachable();
@@ -138,8 +138,8 @@
         guard_time = duty.guard_time(&call.service, target);
     }
     load_watch::watch_target(duty, &call.service, target, location);
-    let left = call.deadline.since(duty.clock.now()).duration();
-    let head = make_head(duty, call, target, location, guard_time, left, last);
+    let remaining = call.deadline.since(duty.clock.now()).duration();
+    let head = make_head(duty, call, target, location, guard_time, remaining, last);
     let sent = timeout_at(deadline, send(sender, &head, &call.body)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -153,7 +153,7 @@
         }
     };
     let mut answer_future = Box::pin(read_answer(response));
-    let answer_timeout = left.saturating_sub(REVOKE_MARGIN.min(left / 4));
+    let answer_timeout = remaining.saturating_sub(REVOKE_MARGIN.min(remaining / 4));
     let answer = match timeout(answer_timeout, &mut answer_future).await {
         Ok(answer) => answer,
         Err(_elapsed) => {
@@ -215,7 +215,7 @@
     target: &TargetName,
     location: &TargetLocation,
     sent: Option<MicroTime>,
-    left: Duration,
+    remaining: Duration,
     last: bool,
 ) -> CallHead {
     let work_us = duty.route_stats.borrow().work_us(&call.options);
@@ -230,7 +230,7 @@
         account: call.account.clone(),
         share: call.share,
         priority: call.options.priority,
-        remaining_ms: left.as_millis() as u32,
+        remaining_ms: remaining.as_millis() as u32,
         sent,
         max_wait_ms,
         work_us: work_us as u32,
@@ -349,9 +349,9 @@
     call: CallId,
     deadline: MicroTime,
 ) -> Option<CallStatus> {
-    let left = deadline.since(duty.clock.now()).duration().min(REVOKE_TIMEOUT);
+    let reply_timeout = deadline.since(duty.clock.now()).duration().min(REVOKE_TIMEOUT);
     let status = request_revocation(duty, guard, incarnation, call);
-    timeout(left, status).await.ok()?
+    timeout(reply_timeout, status).await.ok()?
 }
 
 async fn request_revocation(
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -48,7 +48,7 @@
             return None;
         }
         self.metrics.blamed_calls.inc();
-        warn!(self.logger, "request blocked"; "id" => &*call.id, "digest" => %call.digest,
+        warn!(self.logger, "blamed request rejected"; "id" => &*call.id, "digest" => %call.digest,
             "crashes" => record.crashes, "ran" => final_step == RetryDecision::ReportUnknown);
         Some(match final_step {
             RetryDecision::ReportUnknown => responses::unknown(REASON, None),
