--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -65,7 +65,7 @@
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
             let last = attempts.is_last_attempt() || chosen.untried == 0;
-            let (end, cause) =
+            let (result, cause) =
                 match hedge::run(self, &call, &chosen, &mut attempts, last, &mut tried).await {
                     AttemptEnd::Answered(response) if response.status().is_server_error() => {
                         unusable.push(chosen.name);
@@ -88,9 +88,9 @@
                             unusable.push(chosen.name);
                         }
                         let declined = reason == RefusalReason::Declined;
-                        let end =
+                        let result =
                             if declined { AttemptResult::Declined } else { AttemptResult::Refused };
-                        (end, reason.label())
+                        (result, reason.label())
                     }
                     AttemptEnd::Lost => {
                         unusable.push(chosen.name);
@@ -106,8 +106,9 @@
                     }
                 };
             let in_time = self.clock.now() < call.deadline;
-            let next = self
-                .with_retry_budget(&call.service, |budget| attempts.record(end, in_time, budget));
+            let next = self.with_retry_budget(&call.service, |budget| {
+                attempts.record(result, in_time, budget)
+            });
             if let Some(response) = self.reject_blamed(&call, attempts.failure_decision()) {
                 return failure.unwrap_or(response);
             }
@@ -212,8 +213,8 @@
 }
 
 /// Creates the response to a call that no target answered.
-fn final_response(step: RetryDecision, refusal: (&str, u32)) -> Response<ResponseBody> {
-    if step == RetryDecision::ReportUnknown {
+fn final_response(decision: RetryDecision, refusal: (&str, u32)) -> Response<ResponseBody> {
+    if decision == RetryDecision::ReportUnknown {
         return responses::unknown("lost", None);
     }
     let (reason, retry_after_ms) = refusal;
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -35,13 +35,13 @@
     /// Returns the response to a call whose request is blamed for crashes, or `None` if the
     /// request may run.
     ///
-    /// `final_step` is what the call would report if it ended now: the response doesn't claim
-    /// that the call did not run if an attempt may have run before the request was blamed. It
-    /// has no retry delay, since a retry would be rejected too.
+    /// `failure_decision` is what the call would report if it ended now: the response doesn't
+    /// claim that the call did not run if an attempt may have run before the request was blamed.
+    /// It has no retry delay, since a retry would be rejected too.
     pub(super) fn reject_blamed(
         &self,
         call: &CallerCall,
-        final_step: RetryDecision,
+        failure_decision: RetryDecision,
     ) -> Option<Response<ResponseBody>> {
         let record = self.suspect_record(call);
         if !record.is_blamed() {
@@ -49,8 +49,8 @@
         }
         self.metrics.blamed_calls.inc();
         warn!(self.logger, "blamed request rejected"; "id" => &*call.id, "digest" => %call.digest,
-            "crashes" => record.crashes, "ran" => final_step == RetryDecision::ReportUnknown);
-        Some(match final_step {
+            "crashes" => record.crashes, "ran" => failure_decision == RetryDecision::ReportUnknown);
+        Some(match failure_decision {
             RetryDecision::ReportUnknown => responses::unknown(REASON, None),
             _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
--- a/src/call/guard/load_reports.rs
+++ b/src/call/guard/load_reports.rs
@@ -111,14 +111,15 @@
 }
 
 /// Returns whether a load differs enough from the published one to be worth a report.
-pub(crate) fn is_significant_change(published: &LoadReport, now: &LoadReport) -> bool {
-    let difference = published.slowness.abs_diff(now.slowness);
+pub(crate) fn is_significant_change(published: &LoadReport, current: &LoadReport) -> bool {
+    let difference = published.slowness.abs_diff(current.slowness);
     let slowness_changed =
         u32::from(difference) * 100 > u32::from(published.slowness) * u32::from(SLOWNESS_STEP);
-    let occupancy_changed = occupancy(published) != occupancy(now) || published.slots != now.slots;
+    let occupancy_changed =
+        occupancy(published) != occupancy(current) || published.slots != current.slots;
     slowness_changed
         || occupancy_changed
-        || cold_allowance_step(published) != cold_allowance_step(now)
+        || cold_allowance_step(published) != cold_allowance_step(current)
 }
 
 /// Returns a cold target's allowance in units of [`COLD_ALLOWANCE_STEP`], rounded up so that no
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -35,8 +35,8 @@
     pub(crate) published_remote_load: LoadReport,
     /// Calls that run on the target.
     pub(crate) running_requests: RunningRequests,
-    /// Held by a call whose request is suspected of several crashes while it runs, so that only
-    /// one of them runs at a time.
+    /// Lock for calls whose requests are suspected of several crashes, so that only one of them
+    /// waits for a slot or runs at a time.
     pub(crate) exclusive_run: Arc<Mutex<()>>,
     /// Latest crash check; `true` while it is in progress.
     pub(crate) crash_check: Option<watch::Receiver<bool>>,
