--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -292,7 +292,8 @@
     }
 }
 
-/// Digests a request; `destination` is its `Host` header, or its service.
+/// Digests a request; `destination` is the host that a routed call addresses, or the service
+/// that a client account's call names.
 fn digest_request(
     account: &str,
     destination: &str,
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -26,8 +26,8 @@
 
 /// Limits after which a connection to an unresponsive guard breaks.
 ///
-/// The user timeout is longer than the retransmission of two packets lost in a row takes. A
-/// call on a connection to a dead host is late anyway; the limits serve the calls after it.
+/// The user timeout is longer than TCP takes to recover from two packets lost in a row. A call
+/// on a connection to a dead host is late anyway; the limits serve the calls after it.
 const KEEPALIVE_LIMITS: KeepaliveLimits =
     KeepaliveLimits { user_timeout: Duration::from_millis(900), idle: Duration::from_secs(2) };
 
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -75,8 +75,12 @@
 }
 
 impl EntryDuty {
-    /// Counts a request against the quota of its account; `Err` is the response to a request
-    /// that is over the quota.
+    /// Counts a request against the quota of its account.
+    ///
+    /// # Errors
+    ///
+    /// Returns the response to a request that is over the quota, or for which no holder of the
+    /// quota can be reached.
     pub(super) async fn admit(
         &self,
         account: &AccountParameters,
@@ -153,7 +157,7 @@
     }
 
     /// Returns the holders of an account's quota in the order in which this entry asks
-    /// them: each entry starts at a different holder, and unresponsive holders come last.
+    /// them: entries start at different holders, and unresponsive holders come last.
     fn holders(&self, account: &AccountName, quota: AccountQuota) -> Vec<(HostName, SocketAddr)> {
         let view = self.view.borrow();
         let members: Vec<_> = view.serving().collect();
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -54,7 +54,7 @@
 use crate::rules::config::FleetConfig;
 use crate::store::table::TableWrite;
 
-/// Interval between checks of leases and deadlines.
+/// Interval between checks of leases, deadlines, load changes and stale health reports.
 const TICK: Duration = Duration::from_millis(20);
 
 /// Retry delay for calls that the guard refuses without an estimate of the wait, such as those
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -61,7 +61,8 @@
 impl Drop for ClaimPermit<'_> {
     fn drop(&mut self) {
         if let Some(target) = self.0.duty.targets.borrow_mut().get_mut(&self.0.key) {
-            // Saturates: a target that restarted holds no claims of its earlier incarnation.
+            // Can't underflow, since `LocalTarget::restart` keeps the count when the target
+            // restarts; saturates all the same.
             target.claiming = target.claiming.saturating_sub(1);
         }
     }
