--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -22,7 +22,7 @@
 use crate::call::responses::{self, GuardBody, ResponseBody};
 use crate::decide::selection::TargetLocation;
 
-/// Retry delay of refusals that the entry itself makes, in milliseconds.
+/// Retry delay after an attempt that the entry itself counts as refused, in milliseconds.
 const ENTRY_REFUSAL_RETRY_MS: u32 = 100;
 
 /// Longest wait for a guard's reply to a revocation.
@@ -31,8 +31,8 @@
 /// Longest body that is sent in one write with its head, in bytes.
 const MAX_INLINE_BODY: usize = 64 << 10;
 
-/// Time reserved for the work, as a multiple of its usual time: shared hosts take
-/// about a quarter longer, and the times of single calls vary by half.
+/// Time reserved for a call's work, as a multiple of its usual time: shared hosts take about a
+/// quarter longer, and the times of single calls vary by half.
 const WORK_MARGIN: f64 = 1.5;
 
 /// How an attempt ended.
@@ -58,7 +58,8 @@
     duty: Rc<EntryDuty>,
     service: ServiceName,
     target: TargetName,
-    sent: MicroTime,
+    started: MicroTime,
+    /// Time from the start of the attempt to the head of the answer, if there is one.
     latency: Option<MicroTime>,
     failed: bool,
     /// Whether no connection to the guard could be used.
@@ -111,23 +112,23 @@
         duty: Rc::clone(duty),
         service: call.service.clone(),
         target: target.clone(),
-        sent: now,
+        started: now,
         latency: None,
         failed: false,
         unreachable: false,
     };
-    let left = call.deadline.since(now).duration();
-    if left.is_zero() {
+    let remaining = call.deadline.since(now).duration();
+    if remaining.is_zero() {
         let reason = RefusalReason::TooLate;
         return AttemptEnd::Refused { reason, retry_after_ms: ENTRY_REFUSAL_RETRY_MS };
     }
-    let deadline = Instant::now() + left;
+    let deadline = Instant::now() + remaining;
     let Some(sender) = connect(duty, location, deadline).await else {
         outstanding.mark_unreachable(location);
         return AttemptEnd::unreachable();
     };
-    // Before the first load report the guard's clock is unknown, so that the guard could
-    // not tell how long the call was in transit.
+    // Before the first load report the offset of the guard's clock is unknown, so the guard
+    // could not tell how long the call was in transit.
     let mut guard_time = duty.guard_time(&call.service, target);
     if guard_time.is_none() {
         if !load_watch::fetch_first_report(duty, &call.service, target, location).await {
@@ -137,8 +138,8 @@
         guard_time = duty.guard_time(&call.service, target);
     }
     load_watch::watch_target(duty, &call.service, target, location);
-    let left = call.deadline.since(duty.clock.now()).duration();
-    let head = make_head(duty, call, target, location, guard_time, left, last);
+    let remaining = call.deadline.since(duty.clock.now()).duration();
+    let head = make_head(duty, call, target, location, guard_time, remaining, last);
     let sent = timeout_at(deadline, send(sender, &head, &call.body)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -152,7 +153,7 @@
         }
     };
     let mut answer_future = Box::pin(read_answer(response));
-    let answer_timeout = left.saturating_sub(REVOKE_MARGIN.min(left / 4));
+    let answer_timeout = remaining.saturating_sub(REVOKE_MARGIN.min(remaining / 4));
     let answer = match timeout(answer_timeout, &mut answer_future).await {
         Ok(answer) => answer,
         Err(_elapsed) => {
@@ -214,7 +215,7 @@
     target: &TargetName,
     location: &TargetLocation,
     sent: Option<MicroTime>,
-    left: Duration,
+    remaining: Duration,
     last: bool,
 ) -> CallHead {
     let work_us = duty.route_stats.borrow().work_us(&call.options);
@@ -229,7 +230,7 @@
         account: call.account.clone(),
         share: call.share,
         priority: call.options.priority,
-        remaining_ms: left.as_millis() as u32,
+        remaining_ms: remaining.as_millis() as u32,
         sent,
         max_wait_ms,
         work_us: work_us as u32,
@@ -300,7 +301,7 @@
     answer: &AnswerHead,
     reader: HeadReader,
 ) -> AttemptEnd {
-    let latency = outstanding.duty.clock.now().since(outstanding.sent);
+    let latency = outstanding.duty.clock.now().since(outstanding.started);
     match answer {
         AnswerHead::Answered { call: echoed, .. }
         | AnswerHead::Refused { call: echoed, .. }
@@ -348,9 +349,9 @@
     call: CallId,
     deadline: MicroTime,
 ) -> Option<CallStatus> {
-    let left = deadline.since(duty.clock.now()).duration().min(REVOKE_TIMEOUT);
+    let reply_timeout = deadline.since(duty.clock.now()).duration().min(REVOKE_TIMEOUT);
     let status = request_revocation(duty, guard, incarnation, call);
-    timeout(left, status).await.ok()?
+    timeout(reply_timeout, status).await.ok()?
 }
 
 async fn request_revocation(
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -9,19 +9,20 @@
 use crate::call::responses::{self, ResponseBody};
 use crate::decide::retry::RetryDecision;
 
-/// Reason in the response to a call that may reach no target.
+/// Reason in the response to a call whose request is blamed for crashes.
 const REASON: &str = "ends_targets";
 
 impl EntryDuty {
-    pub(super) fn merge_suspects(&self, notices: &[SuspectUpdate]) {
+    /// Merges updates of crash records into this entry's records.
+    pub(super) fn merge_suspects(&self, updates: &[SuspectUpdate]) {
         let now = self.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        for notice in notices {
-            suspects.merge(now, *notice);
+        for update in updates {
+            suspects.merge(now, *update);
         }
     }
 
-    /// Merges a guard's crash record of a call's request into this entry's.
+    /// Merges a guard's crash record of a call's request into this entry's records.
     pub(crate) fn merge_suspect(&self, call: &CallerCall, record: SuspectRecord) {
         self.merge_suspects(&[SuspectUpdate { digest: call.digest, record }]);
     }
@@ -34,22 +35,22 @@
     /// Returns the response to a call whose request is blamed for crashes, or `None` if the
     /// request may run.
     ///
-    /// `final_step` is what the call would report if it ended now: the response doesn't claim
-    /// that the call did not run if an attempt may have run before the request was blamed. It
-    /// has no retry delay, since a retry would be rejected too.
+    /// `failure_decision` is what the call would report if it ended now: the response doesn't
+    /// claim that the call did not run if an attempt may have run before the request was blamed.
+    /// It has no retry delay, since a retry would be rejected too.
     pub(super) fn reject_blamed(
         &self,
         call: &CallerCall,
-        final_step: RetryDecision,
+        failure_decision: RetryDecision,
     ) -> Option<Response<ResponseBody>> {
         let record = self.suspect_record(call);
         if !record.is_blamed() {
             return None;
         }
         self.metrics.blamed_calls.inc();
-        warn!(self.logger, "request blocked"; "id" => &*call.id, "digest" => %call.digest,
-            "crashes" => record.crashes, "ran" => final_step == RetryDecision::ReportUnknown);
-        Some(match final_step {
+        warn!(self.logger, "blamed request rejected"; "id" => &*call.id, "digest" => %call.digest,
+            "crashes" => record.crashes, "ran" => failure_decision == RetryDecision::ReportUnknown);
+        Some(match failure_decision {
             RetryDecision::ReportUnknown => responses::unknown(REASON, None),
             _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, REASON),
         })
