--- a/src/base/metrics.rs
+++ b/src/base/metrics.rs
@@ -73,63 +73,43 @@
         let options = HistogramOpts::new("railspan_call_seconds", "Time to the head of an answer");
         let latency = Histogram::with_opts(options.buckets(LATENCY_BOUNDS.to_vec()))?;
         registry.register(Box::new(latency.clone()))?;
-        let blamed_requests = IntGauge::new(
-            "railspan_blamed_requests",
-            "Requests not sent to any target because they crash targets",
-        )?;
+        let blamed_requests =
+            IntGauge::new("railspan_blamed_requests", "Requests that reach no target")?;
         registry.register(Box::new(blamed_requests.clone()))?;
         Ok(Self {
-            calls: family("railspan_calls_total", "Calls received from callers", "outcome")?,
+            calls: family("railspan_calls_total", "Calls of callers", "outcome")?,
             latency,
-            retries: family(
-                "railspan_retries_total",
-                "Attempts after the first of a call",
-                "cause",
-            )?,
-            refusals: family("railspan_refusals_total", "Calls refused by this guard", "reason")?,
+            retries: family("railspan_retries_total", "Attempts after the first", "cause")?,
+            refusals: family("railspan_refusals_total", "Refusals by this guard", "reason")?,
             dispatched: counter("railspan_dispatched_total", "Calls dispatched to targets")?,
-            probe_messages: counter("railspan_probe_messages_total", "Load probes sent")?,
-            probe_bytes: counter("railspan_probe_bytes_total", "Bytes of load probes sent")?,
+            probe_messages: counter("railspan_probe_messages_total", "Measuring messages")?,
+            probe_bytes: counter("railspan_probe_bytes_total", "Measuring bytes")?,
             gossip_messages: counter("railspan_gossip_messages_total", "Gossip datagrams sent")?,
             gossip_bytes: counter("railspan_gossip_bytes_total", "Gossip bytes sent")?,
             cross_centre_bytes: family(
                 "railspan_crossing_bytes_total",
-                "Bytes exchanged with other data centres",
+                "Bytes between data centres",
                 "cause",
             )?,
             cross_centre_reports: counter(
                 "railspan_far_reports_total",
-                "Load reports pushed from other data centres",
-            )?,
-            exchanged_records: counter(
-                "railspan_sync_records_total",
-                "Member records sent in full exchanges",
-            )?,
-            platform_calls: family(
-                "railspan_platform_total",
-                "Calls to the platform's store",
-                "end",
-            )?,
-            claims: family("railspan_claims_total", "Claim writes and their transactions", "kind")?,
-            health_requests: counter(
-                "railspan_health_asks_total",
-                "Health requests sent to targets",
+                "Reports of other data centres",
             )?,
+            exchanged_records: counter("railspan_sync_records_total", "Records handed out whole")?,
+            platform_calls: family("railspan_platform_total", "Calls to the platform", "end")?,
+            claims: family("railspan_claims_total", "Claims and their transactions", "kind")?,
+            health_requests: counter("railspan_health_asks_total", "Questions for health")?,
             target_crashes: counter(
                 "railspan_target_crashes_total",
-                "Targets that ended without notice while running calls",
+                "Targets that ended under calls",
             )?,
             blamed_calls: counter(
                 "railspan_held_back_total",
-                "Calls refused because their request crashes targets",
+                "Calls of requests that end targets",
             )?,
             blamed_requests,
             log_dropped: counter("railspan_log_dropped_total", "Log lines dropped")?,
-            ring_drops: family(
-                "railspan_ring_shed_total",
-                "Messages dropped because a ring buffer was full",
-                "duty",
-            )?,
+            ring_drops: family("railspan_ring_shed_total", "Messages a full ring shed", "duty")?,
             registry,
         })
     }
--- a/src/process/admin.rs
+++ b/src/process/admin.rs
@@ -84,7 +84,7 @@
                 drop(self.rings.platform.push(PlatformEvent::Hint));
                 httpd::json_response(StatusCode::OK, &json!({"hinted": true}))
             }
-            _ => httpd::error_response(StatusCode::NOT_FOUND, "no such path"),
+            _ => httpd::error_response(StatusCode::NOT_FOUND, "no such page"),
         }
     }
 
@@ -174,7 +174,9 @@
         };
         match query_duty(&self.rings.peers, |reply| PeersEvent::Forgive { digest, reply }).await {
             Some(true) => httpd::json_response(StatusCode::OK, &json!({"forgiven": digest})),
-            Some(false) => httpd::error_response(StatusCode::NOT_FOUND, "request is not suspected"),
+            Some(false) => {
+                httpd::error_response(StatusCode::NOT_FOUND, "no such request is suspected")
+            }
             None => httpd::busy_response(),
         }
     }
--- a/src/process/httpd.rs
+++ b/src/process/httpd.rs
@@ -59,15 +59,13 @@
     match body {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) => Err(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
-        Err(_elapsed) => {
-            Err(error_response(StatusCode::REQUEST_TIMEOUT, "request body was sent too slowly"))
-        }
+        Err(_elapsed) => Err(error_response(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     }
 }
 
 /// Creates the response for a duty that is too busy.
 pub(crate) fn busy_response() -> Response<Full<Bytes>> {
-    error_response(StatusCode::SERVICE_UNAVAILABLE, "the daemon is too busy")
+    error_response(StatusCode::SERVICE_UNAVAILABLE, "the daemon is busy")
 }
 
 /// Creates a JSON response with an error message.
