--- a/src/base/consts.rs
+++ b/src/base/consts.rs
@@ -10,9 +10,9 @@
 /// Largest encoded head of a message between two daemons, in bytes.
 pub const MAX_HEAD: usize = 64 << 10;
 
-/// Number of bytes of an answer that a guard buffers before it forwards any of them.
+/// Largest part of an answer that a guard buffers before it forwards any of it, in bytes.
 ///
-/// An answer that breaks off within them can still be replaced by another.
+/// An answer that breaks off within this part can still be replaced by another.
 pub const MAX_BUFFERED_ANSWER: usize = 128 << 10;
 
 /// Largest answer body that is recorded with the outcome of a call, in bytes.
@@ -30,7 +30,7 @@
 /// Longest time in which a sender must complete one request head or body.
 pub const SENDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Number of targets that one call may be sent to, including the first.
+/// Largest number of targets that one call may be sent to, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Longest time for which a guard waits for the table to accept a claim.
@@ -42,7 +42,7 @@
 /// status is dropped.
 pub const LEDGER_RETENTION: Duration = Duration::from_secs(150);
 
-/// Number of calls whose status one guard keeps at most.
+/// Largest number of calls whose status one guard keeps.
 ///
 /// Enough for 1,300 denied calls a second, four times the mean call rate of one target at
 /// the fleet size that the design is for.
--- a/src/base/counted_socket.rs
+++ b/src/base/counted_socket.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counts the bytes read and written on a connection whose traffic is charged for.
+/// Connection that counts the bytes read and written, if its traffic is charged for.
 #[derive(Debug)]
 pub(crate) struct CountedSocket {
     socket: TcpStream,
--- a/src/base/evacuation.rs
+++ b/src/base/evacuation.rs
@@ -19,7 +19,7 @@
     pub centres: BTreeSet<CentreName>,
 }
 
-/// Result of reading the evacuations in the store.
+/// Evacuations read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationUpdate {
     /// All evacuated data centres.
@@ -36,7 +36,7 @@
 const MAX_NAMES_BYTES: usize = 512;
 
 impl EvacuationState {
-    /// Returns the encoded size of all names with their lengths, in bytes.
+    /// Returns the encoded size of the names, each with its length field, in bytes.
     #[must_use]
     pub fn encoded_size(&self) -> usize {
         self.centres.iter().map(name_size).sum()
--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -55,7 +55,8 @@
     AccountName
 );
 
-/// Random id that an entry gives to each attempt of a call; unique in a fleet.
+/// Random id that an entry gives to each attempt of a call; unique over the lifetime of a
+/// fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallId(pub u128);
 
@@ -73,7 +74,8 @@
     }
 }
 
-/// Random number that a daemon generates at each start, to tell its processes apart.
+/// Random number that a daemon generates at each start; it identifies one run of the daemon
+/// process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DaemonIncarnation(pub u64);
 
--- a/src/base/lingering_socket.rs
+++ b/src/base/lingering_socket.rs
@@ -1,4 +1,4 @@
-//! Connection that is closed only after its peer could read the last answer.
+//! Connection that is closed only after its peer has had time to read the last answer.
 //!
 //! Closing a socket with unread bytes resets the connection, and the reset may overtake an
 //! answer sent just before. This protects the answer to a request that is refused while
@@ -17,8 +17,8 @@
 /// Longest time for which the socket reads from its peer after the last answer.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Number of bytes read in that time at most: those that a link of 100 Mbit/s carries in
-/// one second.
+/// Largest number of bytes read in that time: those that a link of 100 Mbit/s carries in one
+/// second.
 const LINGER_BYTES: usize = 12 << 20;
 
 /// Socket that reads and discards what its peer still sends when it is shut down.
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -11,8 +11,8 @@
 /// Number of buckets by which full exchanges compare member records.
 pub const SYNC_BUCKETS: usize = 64;
 
-/// Membership state of a daemon, in the order in which a state replaces another of the same
-/// record version.
+/// Membership state of a daemon. At the same record version, a later state in this order
+/// replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
@@ -48,10 +48,10 @@
     pub data_centre: CentreName,
     /// Incarnation of the daemon.
     pub incarnation: DaemonIncarnation,
-    /// Version, which the daemon itself increases with every change of the record.
+    /// Version, which the daemon itself increases with every change that it makes.
     ///
-    /// Of two records of one host, the one with the greater version is valid, then the one
-    /// with the greater state.
+    /// Of two records of one host, the one with the greater version is valid; at the same
+    /// version, the one with the greater state.
     pub version: u64,
     /// Membership state of the daemon.
     pub state: MemberState,
--- a/src/base/metrics.rs
+++ b/src/base/metrics.rs
@@ -46,9 +46,9 @@
     pub(crate) health_requests: IntCounter,
     /// Targets that ended without notice while running calls.
     pub(crate) target_crashes: IntCounter,
-    /// Calls refused because their request crashes targets.
+    /// Calls refused because their request is blamed for crashing targets.
     pub(crate) blamed_calls: IntCounter,
-    /// Requests that are currently not sent to any target.
+    /// Blamed requests, which are currently not sent to any target.
     pub(crate) blamed_requests: IntGauge,
     /// Log lines dropped because the log was not read fast enough.
     pub(crate) log_dropped: IntCounter,
--- a/src/base/suspect.rs
+++ b/src/base/suspect.rs
@@ -13,8 +13,8 @@
 /// its first target, because that request is retried as well.
 pub const BLAMED_AFTER_CRASHES: u8 = 3;
 
-/// Number of chained crashes from which on a target runs at most one such request at a time,
-/// so that the next crash shows which request is at fault.
+/// Number of chained crashes from which on a target runs at most one request with such a
+/// record at a time, so that the next crash shows which request is at fault.
 pub const RUNS_ALONE_AFTER_CRASHES: u8 = 2;
 
 /// Crash record of one request.
@@ -39,13 +39,13 @@
         self.crashes > 0
     }
 
-    /// Returns whether a target may run only one such request at a time.
+    /// Returns whether a target may run only one request with such a record at a time.
     #[must_use]
     pub const fn runs_alone(self) -> bool {
         self.crashes >= RUNS_ALONE_AFTER_CRASHES
     }
 
-    /// Returns whether the request may not be sent to any target.
+    /// Returns whether the request is blamed, and so is not sent to any target.
     #[must_use]
     pub const fn is_blamed(self) -> bool {
         self.crashes >= BLAMED_AFTER_CRASHES
--- a/src/base/wire.rs
+++ b/src/base/wire.rs
@@ -1,7 +1,8 @@
 //! Messages between daemons, and their encoding.
 //!
 //! The encoding is by position: the order and the types of fields and variants are part of
-//! the protocol, their names are not.
+//! the protocol, their names are not. Some of the types are also written as JSON, such as in
+//! the state of a daemon; there the names are part of the interface.
 
 use bincode::config::{Configuration, LittleEndian, Varint};
 use serde::de::DeserializeOwned;
@@ -58,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are malformed, extend beyond the message, or are over [`MAX_HEAD`].
+/// Fails when the bytes are malformed, extend beyond the message, or are more than
+/// [`MAX_HEAD`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
     if bytes.len() > MAX_HEAD {
         return Err(WireError::TooLong { length: bytes.len(), limit: MAX_HEAD });
@@ -113,7 +115,7 @@
 pub struct CallPriority {
     /// Whether the call goes before all calls that are not urgent.
     pub urgent: bool,
-    /// Worth as configured, from 1 to 100.
+    /// Worth of the call as configured, from 1 to 100.
     pub worth: u8,
 }
 
@@ -152,7 +154,8 @@
     pub priority: CallPriority,
     /// Time left to the caller's deadline when the attempt was sent, in milliseconds.
     pub remaining_ms: u32,
-    /// Time at which the attempt was sent, by the entry's estimate of the guard's clock.
+    /// Time at which the attempt was sent, by the entry's estimate of the guard's clock;
+    /// `None` if the entry has no estimate.
     ///
     /// The guard subtracts the time in transit from the time left to the deadline.
     pub sent: Option<MicroTime>,
@@ -254,7 +257,7 @@
     Refused {
         /// The attempt that was refused.
         call: CallId,
-        /// Reason of the refusal.
+        /// Reason for the refusal.
         reason: RefusalReason,
         /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u32,
