--- a/src/rules/account.rs
+++ b/src/rules/account.rs
@@ -60,8 +60,8 @@
 
 /// Index of the accounts by the hashes of their tokens.
 ///
-/// The time of a look-up reveals at most something about the hash of the token presented,
-/// and a caller can't choose that hash.
+/// The time that a look-up takes reveals at most something about the hash of the token
+/// presented. A caller can't choose that hash, so this does not help it to guess a token.
 #[derive(Clone, Debug, Default)]
 pub struct AccountIndex(OnceLock<HashMap<[u8; blake3::OUT_LEN], usize>>);
 
@@ -96,7 +96,7 @@
     pub(crate) second: &'a AccountName,
 }
 
-/// Returns two accounts that have a token in common, if there are any.
+/// Returns two accounts with the same token, if there are any.
 pub(crate) fn find_shared_token(accounts: &[AccountParameters]) -> Option<SharedToken<'_>> {
     let mut owners: HashMap<&str, &AccountName> = HashMap::new();
     for account in accounts {
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -16,7 +16,7 @@
 use crate::rules::options::{CallOptions, HedgeRule, KindOptions};
 use crate::rules::route::{CallerLimits, ColdStart, HealthCheck, RouteIndex, RouteRule};
 
-/// Configuration that one revision sets.
+/// Contents of one revision of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetConfig {
     /// One template for each service.
@@ -140,26 +140,30 @@
     ) -> CallOptions {
         let kind = service.kinds.iter().find(|kind| kind.matches(method, path));
         let name = kind.map_or("other", |kind| kind.name.as_str());
-        let own = account
+        let account_options = account
             .parameters
             .iter()
             .find(|parameters| parameters.service == service.name && parameters.kind == name)
             .map(|parameters| &parameters.options);
-        let template = kind.map(|kind| &kind.options);
+        let template_options = kind.map(|kind| &kind.options);
         let safe = matches!(method, "GET" | "HEAD");
         let deadline_ms =
-            first_set(own, template, |options| options.deadline_ms).unwrap_or(service.deadline_ms);
+            first_set(account_options, template_options, |options| options.deadline_ms)
+                .unwrap_or(service.deadline_ms);
         CallOptions {
             kind: name.to_owned(),
             priority: CallPriority {
-                urgent: first_set(own, template, |options| options.urgent).unwrap_or(false),
-                worth: first_set(own, template, |options| options.worth).unwrap_or(1),
+                urgent: first_set(account_options, template_options, |options| options.urgent)
+                    .unwrap_or(false),
+                worth: first_set(account_options, template_options, |options| options.worth)
+                    .unwrap_or(1),
             },
-            repeatable: first_set(own, template, |options| options.repeatable).unwrap_or(safe),
+            repeatable: first_set(account_options, template_options, |options| options.repeatable)
+                .unwrap_or(safe),
             deadline_ms,
             objective_ms: deadline_ms,
             attempts: MAX_ATTEMPTS,
-            hedge: match first_set(own, template, |options| options.hedge) {
+            hedge: match first_set(account_options, template_options, |options| options.hedge) {
                 Some(true) => HedgeRule::SlowCalls,
                 Some(false) | None => HedgeRule::Never,
             },
@@ -217,13 +221,13 @@
     }
 }
 
-/// Returns an option that the account set, or else the one of the template.
+/// Returns an option of the account if it is set, otherwise the one of the template.
 fn first_set<T>(
-    own: Option<&KindOptions>,
-    template: Option<&KindOptions>,
+    account_options: Option<&KindOptions>,
+    template_options: Option<&KindOptions>,
     field: impl Fn(&KindOptions) -> Option<T>,
 ) -> Option<T> {
-    own.and_then(&field).or_else(|| template.and_then(&field))
+    account_options.and_then(&field).or_else(|| template_options.and_then(&field))
 }
 
 /// Decodes a file; an error becomes a finding only if the checks found none, since they
--- a/src/rules/config_checks.rs
+++ b/src/rules/config_checks.rs
@@ -88,7 +88,8 @@
     /// Services with the names of their kinds; a duplicate service has two entries.
     services: Vec<(&'a str, Vec<&'a str>)>,
     accounts: Vec<&'a str>,
-    tokens: Vec<&'a str>,
+    /// Hashes of the accounts' tokens.
+    token_hashes: Vec<&'a str>,
 }
 
 impl<'a> ConfigNames<'a> {
@@ -101,7 +102,7 @@
             }
             for account in items(value, "accounts") {
                 names.accounts.push(field(account, "name"));
-                names.tokens.push(field(account, "token_blake3"));
+                names.token_hashes.push(field(account, "token_blake3"));
             }
         }
         names
@@ -146,8 +147,8 @@
         if self.accounts.iter().filter(|other| **other == name).count() > 1 {
             file.add_at(&format!("{path}.name"), &format!("duplicate account `{name}`"));
         }
-        let token = field(account, "token_blake3");
-        if self.tokens.iter().filter(|other| **other == token).count() > 1 {
+        let token_hash = field(account, "token_blake3");
+        if self.token_hashes.iter().filter(|other| **other == token_hash).count() > 1 {
             let message = "another account has the same token";
             file.add_at(&format!("{path}.token_blake3"), message);
         }
--- a/src/rules/file_schema.rs
+++ b/src/rules/file_schema.rs
@@ -22,9 +22,9 @@
 /// Type of a value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FieldKind {
-    /// Text of 1 byte to the given number of bytes.
+    /// Text of at least 1 byte and at most the given number of bytes.
     Text(usize),
-    /// Name of letters, digits, `-`, `_` and `.`.
+    /// Name of 1 to 64 letters, digits, `-`, `_` and `.`.
     Name,
     /// Address as `IP:port`.
     Address,
--- a/src/rules/options.rs
+++ b/src/rules/options.rs
@@ -36,7 +36,7 @@
     pub repeatable: bool,
     /// Time to the deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// Latency objective, in milliseconds.
+    /// Latency objective, in milliseconds; an answer within this time is worth most.
     pub objective_ms: u32,
     /// Largest number of targets that the call may be sent to.
     pub attempts: u32,
--- a/src/rules/route.rs
+++ b/src/rules/route.rs
@@ -13,7 +13,7 @@
 use crate::base::wire::CallPriority;
 use crate::rules::options::{CallOptions, HedgeRule};
 
-/// Lowest rank that is not urgent; rank zero is the most urgent.
+/// Smallest rank that is not urgent; rank zero is the most urgent.
 const FIRST_ROUTINE_RANK: u8 = 1;
 
 /// Worth of rank zero, on the scale of [`CallPriority`].
@@ -26,7 +26,7 @@
     pub name: String,
     /// Host name in the request, in lower case.
     pub host: String,
-    /// Prefix of the path; of several matching routes, the one with the longest is used.
+    /// Prefix of the path; of several matching routes, the one with the longest prefix is used.
     pub prefix: String,
     /// Services among which the requests are split by weight; never empty.
     #[serde(rename = "targets")]
@@ -36,7 +36,7 @@
     /// Longest time for which a caller waits for an answer, in milliseconds.
     #[serde(default)]
     pub timeout_ms: Option<u32>,
-    /// Latency objective, in milliseconds.
+    /// Latency objective, in milliseconds; an answer within this time is worth most.
     #[serde(default)]
     pub objective_ms: Option<u32>,
     /// Rank of the requests; zero is the most urgent.
@@ -141,18 +141,18 @@
     /// The choice is made once for all attempts of the request, so that a request for which
     /// one service has no room is refused and not moved to another service.
     pub fn choose_service(&self, rng: &mut Pcg64Mcg) -> &ServiceName {
-        let total: u64 = self.services.iter().map(|service| u64::from(service.weight)).sum();
+        let total: u64 = self.services.iter().map(|weighted| u64::from(weighted.weight)).sum();
         let mut left = if total == 0 { 0 } else { rng.random_range(0..total) };
-        for service in &self.services {
-            match left.checked_sub(u64::from(service.weight)) {
+        for weighted in &self.services {
+            match left.checked_sub(u64::from(weighted.weight)) {
                 Some(rest) => left = rest,
-                None => return &service.service,
+                None => return &weighted.service,
             }
         }
         &self.services[0].service
     }
 
-    /// Returns the options of a call.
+    /// Returns the options of a call on this route.
     ///
     /// `requested_ms` is the time to the deadline that the caller requested, and `rank` that
     /// of the account, if it has its own.
