--- a/src/process/adapter.rs
+++ b/src/process/adapter.rs
@@ -23,7 +23,7 @@
     pub parse_terms: fn(&str) -> ParsedTerms,
 }
 
-/// A request of the host's target to the control address of its daemon.
+/// Request of the host's target to the control address of its daemon.
 #[derive(Debug)]
 pub struct ControlRequest<'a> {
     /// HTTP method.
@@ -39,7 +39,7 @@
 pub struct ControlError {
     /// HTTP status.
     pub status: StatusCode,
-    /// Error message.
+    /// Description of the error.
     pub text: String,
 }
 
@@ -48,15 +48,16 @@
 pub struct DeploymentTerms {
     /// Retries that all daemons together may make, as a fraction of the calls.
     pub retry_ratio: f64,
-    /// Retries beyond that fraction that they may make in one window of the platform.
+    /// Retries that they may make beyond that fraction, in one of the windows over which the
+    /// platform counts retries.
     pub retry_slack: f64,
-    /// Time for which a target's heartbeat stays valid.
+    /// Time for which a target's heartbeat stays valid without another one.
     pub target_lease: Duration,
     /// Time from a stop signal until the process is killed.
     pub grace: Duration,
-    /// Tolerance of the call rate of cold targets.
+    /// Calls that cold targets may be given beyond their rate.
     pub cold: ColdTerms,
-    /// Tolerance of the quotas of accounts.
+    /// Precision with which the quotas of accounts are enforced.
     pub quota: QuotaTerms,
 }
 
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Inboxes of all duties, and the senders to them.
+/// Inboxes of all duties, and the senders that each duty has to the others.
 struct DaemonRings {
     entry: RingInbox<EntryEvent>,
     guard: RingInbox<GuardEvent>,
@@ -117,13 +117,14 @@
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
     let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
-    let terms = deployment.map(|conf| reload::parse_terms(adapter, &conf.terms, &logger));
+    let terms =
+        deployment.map(|deployment| reload::parse_terms(adapter, &deployment.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
     let DaemonListeners { caller, admin, guard, peer, probe, platform } = listeners;
-    let own = initial_record(settings, &addresses);
-    let incarnation = own.incarnation;
+    let own_record = initial_record(settings, &addresses);
+    let incarnation = own_record.incarnation;
     let rings = open_rings();
     let readiness = DaemonReadiness::default();
     let mut duties: Vec<(&str, DutyFactory)> = Vec::new();
@@ -132,7 +133,8 @@
         seed,
         names,
         data_centre: settings.data_centre.clone(),
-        crossing_cost: deployment.map_or(0.0, |conf| f64::from(conf.crossing_cost) / 1_000.0),
+        crossing_cost: deployment
+            .map_or(0.0, |deployment| f64::from(deployment.crossing_cost) / 1_000.0),
         own_service: deployment.map(|deployment| deployment.service.clone()),
         retry_share: reload::retry_share(terms),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
@@ -168,7 +170,7 @@
     duties.push(("guard", duty_factory(move || guard::run(parts, inbox, out, counters, log))));
 
     let parts = PeersParts {
-        own: own.clone(),
+        own: own_record.clone(),
         seed: seed.wrapping_add(1),
         seeds: settings.seeds.clone(),
         socket: peer.1,
@@ -180,7 +182,8 @@
 
     let source = if platform.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
-    let parts = PlatformParts { client, own, seed: seed.wrapping_add(2), source, first_start };
+    let parts =
+        PlatformParts { client, own: own_record, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
     duties.push(("platform", duty_factory(move || durable::run(parts, inbox, out, counters, log))));
@@ -189,10 +192,10 @@
     let plan = stop::stop_plan(settings, terms);
     let admin_inputs = (settings.host.clone(), rings.from_admin, metrics);
     let (inbox, reports) = (rings.admin, rings.reports);
-    let (signals_ready, wait_for_signals) = std::sync::mpsc::channel();
+    let (handlers_registered, wait_for_handlers) = std::sync::mpsc::channel();
     let body = move || async move {
         let Some(mut signals) = DaemonSignals::register(&logger) else { return };
-        _ = signals_ready.send(());
+        _ = handlers_registered.send(());
         let duty = AdminDuty::new(admin_inputs.0, admin_inputs.1, admin_inputs.2);
         let Ok(listener) = tokio::net::TcpListener::from_std(admin) else { return };
         spawn_local(std::rc::Rc::clone(&duty).serve(listener));
@@ -217,7 +220,7 @@
     // A caller that knows the daemon's addresses may send it a signal, so the signal
     // handlers must be registered before this returns. Receiving fails only if the admin
     // duty ended; then `RunningDaemon::wait` returns at once.
-    _ = wait_for_signals.recv();
+    _ = wait_for_handlers.recv();
     Ok(RunningDaemon { addresses, stop: Some(stop), admin_thread, log_flusher })
 }
 
--- a/src/process/listen.rs
+++ b/src/process/listen.rs
@@ -18,7 +18,7 @@
 /// Largest number of attempts to find a port that is free for both TCP and UDP.
 const MAX_PORT_ATTEMPTS: u32 = 32;
 
-/// Reason why a daemon could not start.
+/// Reason for which a daemon could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -12,12 +12,12 @@
 use crate::process::admin::AdminRings;
 use crate::process::settings::DaemonSettings;
 
-/// Fraction of the fleet's allowed retries that is divided among the daemons.
+/// Fraction of the retries allowed by the terms that is divided among the daemons.
 ///
 /// The rest is a reserve for retries at the edges of a window and for repeated inner calls.
 const RETRY_FRACTION: f64 = 0.5;
 
-/// Interval at which the settings are read again without a signal.
+/// Interval at which the settings are read again, since they may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Returns a daemon's share of the retries that the terms allow.
@@ -50,7 +50,7 @@
     pub(crate) current_terms: Option<DeploymentTerms>,
 }
 
-/// Reloads the settings on every hangup signal, and at an interval without one.
+/// Reloads the settings on every hangup signal, and every [`RELOAD_INTERVAL`] without one.
 ///
 /// Only the deployment's terms of a running daemon can change; its addresses stay bound.
 /// If the settings can't be read, the previous ones stay in force.
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -92,12 +92,12 @@
     20_000
 }
 
-const BUDGET_RULES: &[FieldSchema] = &[
+const BUDGET_FIELDS: &[FieldSchema] = &[
     FieldSchema { name: "messages_per_s", kind: FieldKind::Integer(0, 100_000), required: true },
     FieldSchema { name: "bytes_per_s", kind: FieldKind::Integer(0, 100_000_000), required: true },
 ];
 
-const DEPLOYMENT_RULES: &[FieldSchema] = &[
+const DEPLOYMENT_FIELDS: &[FieldSchema] = &[
     FieldSchema { name: "service", kind: FieldKind::Name, required: true },
     FieldSchema { name: "target_address", kind: FieldKind::Address, required: false },
     FieldSchema { name: "ready_address", kind: FieldKind::Address, required: true },
@@ -106,7 +106,7 @@
     FieldSchema { name: "terms", kind: FieldKind::Text(4_000), required: true },
 ];
 
-const RULES: &[FieldSchema] = &[
+const SETTINGS_FIELDS: &[FieldSchema] = &[
     FieldSchema { name: "host", kind: FieldKind::Name, required: true },
     FieldSchema { name: "data_centre", kind: FieldKind::Name, required: true },
     FieldSchema { name: "caller_address", kind: FieldKind::Address, required: true },
@@ -118,10 +118,10 @@
     FieldSchema { name: "platform_address", kind: FieldKind::Address, required: true },
     FieldSchema { name: "seeds", kind: FieldKind::Addresses, required: false },
     FieldSchema { name: "stop_bound_ms", kind: FieldKind::Integer(0, 600_000), required: false },
-    FieldSchema { name: "probe_budget", kind: FieldKind::Object(BUDGET_RULES), required: false },
+    FieldSchema { name: "probe_budget", kind: FieldKind::Object(BUDGET_FIELDS), required: false },
     FieldSchema { name: "one_thread", kind: FieldKind::Flag, required: false },
     FieldSchema { name: "first_start", kind: FieldKind::Flag, required: false },
-    FieldSchema { name: "deployment", kind: FieldKind::Object(DEPLOYMENT_RULES), required: false },
+    FieldSchema { name: "deployment", kind: FieldKind::Object(DEPLOYMENT_FIELDS), required: false },
     FieldSchema { name: "seed", kind: FieldKind::Integer(0, u64::MAX), required: false },
 ];
 
@@ -144,7 +144,7 @@
     ///
     /// Returns all findings, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, FindingList> {
-        let mut checked = CheckedFile::open(file, text, RULES);
+        let mut checked = CheckedFile::open(file, text, SETTINGS_FIELDS);
         let options = jsonc_parser::ParseOptions::default();
         let parsed = jsonc_parser::parse_to_serde_value::<Self>(text, &options);
         match parsed {
--- a/src/process/stop.rs
+++ b/src/process/stop.rs
@@ -11,14 +11,15 @@
 use crate::process::admin::AdminRings;
 use crate::process::settings::DaemonSettings;
 
-/// Time for the leave message to reach some peers.
+/// Time allowed for the leave message to reach some peers.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Longest wait for the member row to be removed from the platform's table.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Fraction of the time between a stop signal and a kill during which callers are asked to
-/// use another daemon: longer than the platform takes to notice that this one isn't ready.
+/// use another daemon. It is longer than the platform takes to notice that this one isn't
+/// ready.
 const DRAIN_FRACTION: f64 = 0.5;
 
 /// Fraction of that time after which all calls must have ended.
