--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -45,9 +45,9 @@
 fn check_terms(file: &str, text: &str, settings: &DaemonSettings) -> Vec<FileFinding> {
     let Some(deployment) = &settings.deployment else { return Vec::new() };
     let position = TextPosition::of(text, text.find("\"terms\"").unwrap_or_default());
-    let faults = (crate::platform::adapter().parse_terms)(&deployment.terms).errors;
+    let errors = (crate::platform::adapter().parse_terms)(&deployment.terms).errors;
     let finding = |text| FileFinding { file: file.to_owned(), position, text };
-    faults.into_iter().map(finding).collect()
+    errors.into_iter().map(finding).collect()
 }
 
 /// Reads all files and returns their names and contents.
--- a/src/command/cli.rs
+++ b/src/command/cli.rs
@@ -33,13 +33,13 @@
     Check(CheckOptions),
     #[options(help = "check templates and publish them as the next revision")]
     Publish(PublishOptions),
-    #[options(help = "show which revision is active, and which hosts differ")]
+    #[options(help = "show which revision is in force, and which hosts differ")]
     Status(StatusOptions),
     #[options(help = "print the state of one daemon")]
     Dump(DumpOptions),
     #[options(help = "stop sending new calls to a target, or undo that")]
     Drain(DrainOptions),
-    #[options(help = "unblock a request that is blamed for crashing targets")]
+    #[options(help = "clear a request that is blamed for crashing targets")]
     Forgive(ForgiveOptions),
     #[options(help = "show how many targets each service has, and list them")]
     Targets(TargetsOptions),
--- a/src/command/forgive.rs
+++ b/src/command/forgive.rs
@@ -1,4 +1,5 @@
-//! `railspan forgive`: unblocks a request that is blamed for crashing targets.
+//! `railspan forgive`: clears a request that is blamed for crashing targets, so that it may
+//! reach targets again.
 
 use std::net::SocketAddr;
 
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -106,7 +106,7 @@
     pub daemon: MemberState,
     /// Result of the status request to the daemon.
     pub condition: HostCondition,
-    /// Active revision; none if the daemon has none or gave no answer.
+    /// Revision in force; `None` if the daemon has none or gave no answer.
     pub revision: Option<u64>,
     /// Whether the daemon serves calls.
     pub ready: bool,
@@ -114,7 +114,7 @@
     pub store_lost: bool,
     /// Whether the daemon considers its data centre evacuated.
     pub evacuated: bool,
-    /// Requests that the daemon blocks because they are blamed for crashing targets.
+    /// Requests that are blamed for crashing targets, which the daemon sends to no target.
     pub blamed: Vec<RequestDigest>,
 }
 
@@ -210,7 +210,7 @@
     host.evacuated =
         evacuated.is_some_and(|all| all.iter().any(|name| name == host.data_centre.as_str()));
     let blamed = answer["blamed"].as_array().into_iter().flatten();
-    let digests = blamed.filter_map(|notice| RequestDigest::parse(notice["digest"].as_str()?));
+    let digests = blamed.filter_map(|update| RequestDigest::parse(update["digest"].as_str()?));
     host.blamed = digests.collect();
     host.condition = if host.ready { HostCondition::Serving } else { HostCondition::NotReady };
 }
@@ -231,7 +231,8 @@
 /// Fails when no daemon has the target, or its daemon can't be reached.
 pub async fn drain(daemon: SocketAddr, target: &str, on: bool) -> Result<HostName, OperatorError> {
     let view = read_members(daemon).await?;
-    let has = |notice: &crate::base::member::AdvertisedTarget| notice.name.as_str() == target;
+    let has =
+        |advertised: &crate::base::member::AdvertisedTarget| advertised.name.as_str() == target;
     let member = view.serving().find(|member| member.targets.iter().any(has));
     let member = member.ok_or_else(|| OperatorError::NoTarget { target: target.to_owned() })?;
     let path = format!("/drain?target={target}&on={on}");
@@ -239,7 +240,7 @@
     Ok(member.host.clone())
 }
 
-/// Unblocks a request that is blamed for crashing targets.
+/// Clears a request that is blamed for crashing targets, so that it may reach targets again.
 ///
 /// # Errors
 ///
--- a/src/command/output.rs
+++ b/src/command/output.rs
@@ -52,13 +52,13 @@
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
 
-/// Checks that a filter's name is among the known ones.
+/// Checks that the name in a filter is among the known ones; `kind` says what it names.
 ///
 /// # Errors
 ///
 /// Returns the command's output, which lists the known names.
 pub(crate) fn expect_known<'a>(
-    what: &str,
+    kind: &str,
     name: &str,
     known: impl Iterator<Item = &'a str>,
 ) -> Result<(), CommandOutput> {
@@ -68,6 +68,6 @@
     }
     known.sort_unstable();
     known.dedup();
-    let text = format!("unknown {what} `{name}`; known: {}", known.join(", "));
+    let text = format!("unknown {kind} `{name}`; known: {}", known.join(", "));
     Err(CommandOutput::new(CommandExit::Refused, text))
 }
--- a/src/command/progress.rs
+++ b/src/command/progress.rs
@@ -1,4 +1,4 @@
-//! Progress bar for commands that take long.
+//! Progress bar for long-running commands.
 
 use std::time::{Duration, Instant};
 
--- a/src/command/status.rs
+++ b/src/command/status.rs
@@ -1,4 +1,5 @@
-//! `railspan status`: shows which revision is active, and which hosts differ.
+//! `railspan status`: shows which revision is in force on which hosts, and which hosts
+//! differ.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -149,7 +150,7 @@
     evacuated.map(|(centre, (reporting, answered))| (centre, reporting, answered)).collect()
 }
 
-/// Returns the blocked requests, each with the number of hosts that report it.
+/// Returns the blamed requests, each with the number of hosts that report it.
 fn blamed_requests(hosts: &[HostStatus]) -> BTreeMap<RequestDigest, usize> {
     let mut requests = BTreeMap::new();
     for digest in hosts.iter().flat_map(|host| &host.blamed) {
--- a/src/command/targets.rs
+++ b/src/command/targets.rs
@@ -153,7 +153,7 @@
     let head = ["SERVICE", "TARGET", "HOST", "DATA CENTRE", "DAEMON", "READY", "SLOTS"];
     write_row(&mut text, head.map(str::to_owned));
     for status in listed {
-        write_row(&mut text, columns(status));
+        write_row(&mut text, target_row(status));
     }
     text
 }
@@ -173,7 +173,7 @@
     text.push('\n');
 }
 
-fn columns(status: &TargetStatus) -> [String; 7] {
+fn target_row(status: &TargetStatus) -> [String; 7] {
     [
         status.service.to_string(),
         status.target.to_string(),
