--- a/src/base/call_status.rs
+++ b/src/base/call_status.rs
@@ -68,7 +68,8 @@
     pub guard: SocketAddr,
     /// Incarnation of that guard's daemon; any other has no record of the call.
     pub incarnation: DaemonIncarnation,
-    /// Hash of the request, which tells a repeat from another request with the same key.
+    /// Hash of the request, which distinguishes a repeat from another request
+    /// with the same key.
     #[serde(rename = "print")]
     pub fingerprint: String,
     /// State of the call.
--- a/src/base/log.rs
+++ b/src/base/log.rs
@@ -17,7 +17,7 @@
 const BUFFER_BYTES: usize = 512 << 10;
 
 /// Number of buffered bytes above which lines below warning level are dropped.
-const ROUTINE_BYTES: usize = BUFFER_BYTES / 2;
+const ROUTINE_LIMIT_BYTES: usize = BUFFER_BYTES / 2;
 
 /// Time for which lines are collected into one write.
 const WRITE_DELAY: Duration = Duration::from_millis(100);
@@ -57,7 +57,7 @@
         let rendered = slog_json::Json::default(&mut line).log(record, values).is_ok();
         let mut buffer = self.shared.lock();
         let routine = !record.level().is_at_least(Level::Warning);
-        let limit = if routine { ROUTINE_BYTES } else { BUFFER_BYTES };
+        let limit = if routine { ROUTINE_LIMIT_BYTES } else { BUFFER_BYTES };
         if !rendered || buffer.bytes.len() + line.len() > limit {
             buffer.dropped += 1;
             self.dropped.inc();
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -162,7 +162,7 @@
 /// Snapshot of all members.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetView {
-    /// All known members, including the own daemon.
+    /// All known members, including the daemon that returns the snapshot.
     pub members: Vec<MemberRecord>,
 }
 
--- a/src/base/wire.rs
+++ b/src/base/wire.rs
@@ -124,7 +124,8 @@
 pub struct KeyClaim {
     /// Key of the claim's row in the table: a hash over account, service and idempotency key.
     pub row: String,
-    /// Hash of the request, which tells a repeat from another request with the same key.
+    /// Hash of the request, which distinguishes a repeat from another request
+    /// with the same key.
     #[serde(rename = "print")]
     pub fingerprint: String,
     /// Version of the existing row to take over, whose call is known not to have run.
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
     /// The daemon can't be reached, or gave no valid answer in time.
-    #[snafu(display("cannot reach {daemon}: {reason}"))]
+    #[snafu(display("can't reach {daemon}: {reason}"))]
     Unreachable {
         /// Admin address of the daemon.
         daemon: SocketAddr,
