--- a/src/command/request_trace.rs
+++ b/src/command/request_trace.rs
@@ -85,7 +85,7 @@
         self.lines.sort_by(|left, right| left.ts.cmp(&right.ts));
     }
 
-    /// Renders the trace as text, with one log line per line.
+    /// Renders the trace as text, one line for each log line.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
--- a/src/command/targets.rs
+++ b/src/command/targets.rs
@@ -136,7 +136,7 @@
 }
 
 /// Renders targets as text: a line for each service, then the targets that take no new
-/// calls, or all targets if `all` is set or there are at most [`MAX_LISTED`].
+/// calls, or all targets if `all` is set or there are at most `MAX_LISTED`.
 #[must_use]
 pub fn render_targets(statuses: &[TargetStatus], all: bool) -> String {
     let mut text = String::new();
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -14,7 +14,7 @@
 
 /// Fraction of the retries allowed by the terms that is divided among the daemons.
 ///
-/// The rest is a reserve for retries at the edges of a window and for repeated inner calls.
+/// The rest is a reserve for retries at the edges of a window and for repeated nested calls.
 const RETRY_FRACTION: f64 = 0.5;
 
 /// Interval at which the settings are read again, since they may change without a signal.
