--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
     /// The daemon can't be reached, or gave no valid answer in time.
-    #[snafu(display("cannot reach {daemon}: {reason}"))]
+    #[snafu(display("can't reach {daemon}: {reason}"))]
     Unreachable {
         /// Admin address of the daemon.
         daemon: SocketAddr,
@@ -106,7 +106,7 @@
     pub daemon: MemberState,
     /// Result of the status request to the daemon.
     pub condition: HostCondition,
-    /// Active revision; none if the daemon has none or gave no answer.
+    /// Revision in force; `None` if the daemon has none or gave no answer.
     pub revision: Option<u64>,
     /// Whether the daemon serves calls.
     pub ready: bool,
@@ -114,7 +114,7 @@
     pub store_lost: bool,
     /// Whether the daemon considers its data centre evacuated.
     pub evacuated: bool,
-    /// Requests that the daemon blocks because they are blamed for crashing targets.
+    /// Requests that are blamed for crashing targets, which the daemon sends to no target.
     pub blamed: Vec<RequestDigest>,
 }
 
@@ -240,7 +240,7 @@
     Ok(member.host.clone())
 }
 
-/// Unblocks a request that is blamed for crashing targets.
+/// Clears a request that is blamed for crashing targets, so that it may reach targets again.
 ///
 /// # Errors
 ///
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Inboxes of all duties, and the senders to them.
+/// Inboxes of all duties, and the senders that each duty has to the others.
 struct DaemonRings {
     entry: RingInbox<EntryEvent>,
     guard: RingInbox<GuardEvent>,
@@ -117,7 +117,7 @@
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
     let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
-    let terms = deployment.map(|conf| reload::parse_terms(adapter, &conf.terms, &logger));
+    let terms = deployment.map(|settings| reload::parse_terms(adapter, &settings.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
@@ -132,7 +132,8 @@
         seed,
         names,
         data_centre: settings.data_centre.clone(),
-        crossing_cost: deployment.map_or(0.0, |conf| f64::from(conf.crossing_cost) / 1_000.0),
+        crossing_cost: deployment
+            .map_or(0.0, |deployment| f64::from(deployment.crossing_cost) / 1_000.0),
         own_service: deployment.map(|deployment| deployment.service.clone()),
         retry_share: reload::retry_share(terms),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
@@ -189,10 +190,10 @@
     let plan = stop::stop_plan(settings, terms);
     let admin_inputs = (settings.host.clone(), rings.from_admin, metrics);
     let (inbox, reports) = (rings.admin, rings.reports);
-    let (signals_ready, wait_for_signals) = std::sync::mpsc::channel();
+    let (handlers_registered, wait_for_handlers) = std::sync::mpsc::channel();
     let body = move || async move {
         let Some(mut signals) = DaemonSignals::register(&logger) else { return };
-        _ = signals_ready.send(());
+        _ = handlers_registered.send(());
         let duty = AdminDuty::new(admin_inputs.0, admin_inputs.1, admin_inputs.2);
         let Ok(listener) = tokio::net::TcpListener::from_std(admin) else { return };
         spawn_local(std::rc::Rc::clone(&duty).serve(listener));
@@ -217,7 +218,7 @@
     // A caller that knows the daemon's addresses may send it a signal, so the signal
     // handlers must be registered before this returns. Receiving fails only if the admin
     // duty ended; then `RunningDaemon::wait` returns at once.
-    _ = wait_for_signals.recv();
+    _ = wait_for_handlers.recv();
     Ok(RunningDaemon { addresses, stop: Some(stop), admin_thread, log_flusher })
 }
 
