--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -7,7 +7,7 @@
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
-use super::suspect_requests::NOTICE_BYTES;
+use super::suspect_requests::SUSPECT_UPDATE_BYTES;
 use super::update_queue::MessageBudget;
 use super::{MembershipAction, MembershipState};
 use crate::base::clock::MicroTime;
@@ -52,8 +52,8 @@
 
 /// Number of other daemons up to which notices go to all of them instead of a sample.
 ///
-/// When ten of 13 daemons failed at the moment of a new revision, it took up to 2.6 s to
-/// reach the rest, because the sampled daemons were among the failed ones.
+/// With a sample, when ten of 13 daemons failed at the moment of a new revision, the rest
+/// got it up to 2.6 s later, because the sampled daemons were among the failed ones.
 const NOTIFY_ALL_MAX_PEERS: usize = 24;
 
 /// Number of daemons that get an immediate notice when a daemon changes its own record.
@@ -68,7 +68,7 @@
 /// Number of daemons to which a daemon sends a notice when it adopts a revision, or when
 /// the evacuated data centres change.
 ///
-/// The news reaches all daemons after a few steps, wherever it starts, and a revision is
+/// The notices reach all daemons after a few steps, wherever they start, and a revision is
 /// mostly fetched from a peer in the same data centre.
 pub(super) const HEADER_FANOUT: PeerCounts = PeerCounts { local: 3, remote: 1 };
 
@@ -100,8 +100,8 @@
     ) {
         let Some(known) = self.members.get(host) else { return };
         let pending = self.updates_left();
-        let bulk = pending >= BULK_SYNC_THRESHOLD;
-        if now < self.next_sync || !(bulk || pending == 0) {
+        let is_bulk = pending >= BULK_SYNC_THRESHOLD;
+        if now < self.next_sync || !(is_bulk || pending == 0) {
             return;
         }
         let is_local = known.record.is_in(&self.own.data_centre);
@@ -116,7 +116,7 @@
                 return;
             }
         }
-        self.next_sync = now + if bulk { BULK_SYNC_INTERVAL } else { SYNC_INTERVAL };
+        self.next_sync = now + if is_bulk { BULK_SYNC_INTERVAL } else { SYNC_INTERVAL };
         // The advertised address is used: the source address of the datagram may be translated
         // (NAT).
         out.push(MembershipAction::Sync { peer: known.record.peer });
@@ -183,8 +183,8 @@
     /// Samples the daemons that get a notice; returns all daemons of a small fleet.
     pub(super) fn sample_fanout(&self, counts: PeerCounts, rng: &mut Pcg64Mcg) -> Vec<SocketAddr> {
         let all = PeerCounts { local: usize::MAX, remote: usize::MAX };
-        let small = self.members.len() <= NOTIFY_ALL_MAX_PEERS;
-        self.sample_up(if small { all } else { counts }, &self.own.host, rng)
+        let is_small = self.members.len() <= NOTIFY_ALL_MAX_PEERS;
+        self.sample_up(if is_small { all } else { counts }, &self.own.host, rng)
     }
 
     /// Samples daemons that are up, except `excluded`.
@@ -224,8 +224,8 @@
         first: Option<MemberRecord>,
     ) -> GossipMessage {
         let mut updates = Vec::from_iter(first);
-        let suspects = self.suspect_updates.next_notices(self.members.len() + 1);
-        let reserved_bytes = self.evacuation.encoded_size() + suspects.len() * NOTICE_BYTES;
+        let suspects = self.suspect_queue.next_updates(self.members.len() + 1);
+        let reserved_bytes = self.evacuation.encoded_size() + suspects.len() * SUSPECT_UPDATE_BYTES;
         let (fleet_size, local_size) = (self.members.len() + 1, self.local_size());
         let budget = MessageBudget { fleet_size, local_size, reserved_bytes, is_remote };
         let (own, members) = (&self.own, &self.members);
@@ -252,7 +252,7 @@
             revision: self.own.revision,
             digest: self.digest,
             evacuation: self.evacuation.clone(),
-            blamed_hash: self.suspect_updates.blamed_hash(),
+            blamed_hash: self.suspect_queue.blamed_hash(),
             suspects: Vec::new(),
             updates,
         }
--- a/src/fleet/membership/events.rs
+++ b/src/fleet/membership/events.rs
@@ -33,8 +33,8 @@
     /// Requests are suspected of crashing targets.
     SuspectRequests {
         /// The suspected requests.
-        notices: Vec<SuspectUpdate>,
-        /// Whether this daemon is the source of the notices, so that no other one knows
+        updates: Vec<SuspectUpdate>,
+        /// Whether this daemon is the source of the updates, so that no other one knows
         /// them yet.
         first_hand: bool,
     },
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -36,7 +36,7 @@
 use dissemination::{CHANGE_FANOUT, PeerCounts};
 use probe_order::ProbeOrder;
 use probing::{PendingProbe, ProxyProbe};
-use suspect_requests::SuspectUpdates;
+use suspect_requests::SuspectQueue;
 use update_queue::UpdateQueue;
 
 /// Time after a member is declared dead in which its data centre is probed more often: ten
@@ -80,7 +80,8 @@
     unreached_probes: Vec<PendingProbe>,
     /// Unanswered probes on behalf of other daemons.
     proxies: Vec<ProxyProbe>,
-    /// Number of the last message that this daemon sent.
+    /// Number of the last message that this daemon sent unasked; a reply has the number of
+    /// the message that it answers.
     last_number: u64,
     period: u64,
     next_period: MicroTime,
@@ -92,10 +93,10 @@
     announcements_left: PeerCounts,
     /// XOR of the digests of all records, to detect differences.
     digest: u64,
-    /// The newest evacuation notice; every message carries it.
+    /// The newest known evacuation state; every message carries it.
     evacuation: EvacuationState,
-    suspect_updates: SuspectUpdates,
-    /// Set when another record of the own host was refuted, until notices of it are sent.
+    suspect_queue: SuspectQueue,
+    /// Set when another record of the own host was refuted, until notices of the new own record are sent.
     refutation_due: bool,
 }
 
@@ -121,7 +122,7 @@
             remote_differs_since: None,
             announcements_left: CHANGE_FANOUT,
             evacuation: EvacuationState::default(),
-            suspect_updates: SuspectUpdates::default(),
+            suspect_queue: SuspectQueue::default(),
             refutation_due: false,
         };
         state.own.state = MemberState::Alive;
@@ -145,9 +146,9 @@
                 self.set_own_targets(targets, revision, rng, out);
             }
             MembershipEvent::StoreLost(lost) => self.set_store_lost(lost, rng, out),
-            MembershipEvent::Evacuation(notice) => self.merge_evacuation(notice, rng, out),
-            MembershipEvent::SuspectRequests { notices, first_hand } => {
-                self.merge_suspect_notices(now, &notices, first_hand, rng, out);
+            MembershipEvent::Evacuation(evacuation) => self.merge_evacuation(evacuation, rng, out),
+            MembershipEvent::SuspectRequests { updates, first_hand } => {
+                self.merge_suspect_updates(now, &updates, first_hand, rng, out);
             }
             MembershipEvent::RecordsReceived(records) => self.apply_records(now, records, rng, out),
             MembershipEvent::MemberUnreachable(host) => self.probe_unreached(now, host, out),
@@ -192,7 +193,7 @@
         self.members.values().any(|known| known.record.is_up())
     }
 
-    /// Returns the newest known evacuation notice.
+    /// Returns the newest known evacuation state.
     #[must_use]
     pub const fn evacuation(&self) -> &EvacuationState {
         &self.evacuation
@@ -247,12 +248,12 @@
         let mut new_hosts = Vec::new();
         for record in records {
             let host = record.host.clone();
-            let known = host == self.own.host || self.members.contains_key(&host);
-            let up = record.is_up();
+            let is_known = host == self.own.host || self.members.contains_key(&host);
+            let is_up = record.is_up();
             self.apply(now, record, out);
-            if !known {
+            if !is_known {
                 self.updates.remove(&host);
-                new_hosts.extend(up.then_some(host));
+                new_hosts.extend(is_up.then_some(host));
             }
         }
         // The sender knows all other records, too, or got them in the same exchange.
@@ -274,8 +275,8 @@
     ///
     /// Such a record comes from a daemon that suspects this one, or from an earlier incarnation.
     fn refute_record(&mut self, record: &MemberRecord, out: &mut Vec<MembershipAction>) {
-        let stale = record.incarnation != self.own.incarnation || record.state != self.own.state;
-        if !stale || self.own.state == MemberState::Left {
+        let is_wrong = record.incarnation != self.own.incarnation || record.state != self.own.state;
+        if !is_wrong || self.own.state == MemberState::Left {
             return;
         }
         if record.version < self.own.version {
@@ -314,14 +315,14 @@
         self.notify_of_own_change(rng, out);
     }
 
-    /// Merges an evacuation notice and sends it on at once if it changes anything.
+    /// Merges an evacuation state and sends it on at once if it changes anything.
     fn merge_evacuation(
         &mut self,
-        notice: EvacuationState,
+        evacuation: EvacuationState,
         rng: &mut Pcg64Mcg,
         out: &mut Vec<MembershipAction>,
     ) {
-        if self.evacuation.merge(notice) {
+        if self.evacuation.merge(evacuation) {
             out.push(MembershipAction::EvacuationChanged);
             self.notify_of_header(rng, out);
         }
--- a/src/fleet/membership/probe_order.rs
+++ b/src/fleet/membership/probe_order.rs
@@ -23,7 +23,8 @@
 const REMOTE_PROBE_PERIODS: u64 = 5;
 
 /// Periods between two probes of other data centres while one of their members is
-/// suspected; then only members of its data centre are probed.
+/// suspected or was declared dead lately; of the other data centres, only its own is then
+/// probed.
 ///
 /// The whole data centre may have failed, and the failure of each member has to be detected:
 /// it takes 8.9 s until all daemons know of all 59 failures, 9.6 s without this rule.
@@ -43,16 +44,18 @@
         &mut self,
         now: MicroTime,
         period: u64,
-        centre: &CentreName,
+        own_centre: &CentreName,
         members: &BTreeMap<HostName, KnownMember>,
         rng: &mut Pcg64Mcg,
     ) -> Option<HostName> {
-        let suspected: BTreeSet<&CentreName> = members
+        let suspected_centres: BTreeSet<&CentreName> = members
             .values()
-            .filter(|known| known.is_suspected_or_recently_dead(now) && !known.record.is_in(centre))
+            .filter(|known| {
+                known.is_suspected_or_recently_dead(now) && !known.record.is_in(own_centre)
+            })
             .map(|known| &known.record.data_centre)
             .collect();
-        let interval = if suspected.is_empty() {
+        let interval = if suspected_centres.is_empty() {
             REMOTE_PROBE_PERIODS
         } else {
             REMOTE_PROBE_PERIODS_SUSPECTED
@@ -61,11 +64,12 @@
         let mut next_in = |remote: bool| {
             let round = if remote { &mut self.remote } else { &mut self.local };
             let is_eligible = |member: &MemberRecord| {
-                let place = &member.data_centre;
+                let centre = &member.data_centre;
                 let is_due = if remote {
-                    place != centre && (suspected.is_empty() || suspected.contains(place))
+                    centre != own_centre
+                        && (suspected_centres.is_empty() || suspected_centres.contains(centre))
                 } else {
-                    place == centre
+                    centre == own_centre
                 };
                 is_due && member.is_up()
             };
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -28,7 +28,7 @@
             message;
         let GossipMessage { blamed_hash, suspects, updates, .. } = message;
         self.merge_evacuation(evacuation, rng, out);
-        self.merge_suspect_notices(now, &suspects, false, rng, out);
+        self.merge_suspect_updates(now, &suspects, false, rng, out);
         self.reply_to_blamed_hash(now, from, blamed_hash, rng, out);
         let sender_is_outdated =
             updates.iter().any(|record| self.loses_to_earlier_incarnation(&sender, record));
--- a/src/fleet/membership/update_queue.rs
+++ b/src/fleet/membership/update_queue.rs
@@ -48,7 +48,7 @@
 pub(super) struct MessageBudget {
     /// Number of daemons in the fleet.
     pub(super) fleet_size: usize,
-    /// Number of daemons in the own data centre.
+    /// Number of daemons in the own data centre that may serve, this one included.
     pub(super) local_size: usize,
     /// Bytes of the datagram that other fields take.
     pub(super) reserved_bytes: usize,
@@ -65,8 +65,8 @@
 
     /// Returns the number of updates that are still to be sent in the own data centre, in a
     /// fleet of this size.
-    pub(super) fn pending_count(&self, fleet: usize) -> usize {
-        let limit = spread_limit(fleet);
+    pub(super) fn pending_count(&self, fleet_size: usize) -> usize {
+        let limit = spread_limit(fleet_size);
         self.send_counts.values().filter(|sent| sent.local < limit).count()
     }
 
@@ -110,7 +110,8 @@
         let own = self.own.clone();
         let local_sends_left = |sent: &SendCount| sent.local < limit;
         let remote_sends_left = |host: &HostName, sent: &SendCount| {
-            let record = lookup(host).filter(|(record, local)| *local || is_unresponsive(record));
+            let record =
+                lookup(host).filter(|(record, is_local)| *is_local || is_unresponsive(record));
             record.is_some_and(|(record, _)| {
                 sent.remote < remote_send_limit(&own, record, budget.local_size)
             })
@@ -158,8 +159,8 @@
 }
 
 /// Returns the number of times that an update is sent in a fleet of this size.
-pub(super) fn spread_limit(fleet: usize) -> u32 {
-    SENDS_PER_DOUBLING * (fleet as u32 + 1).ilog2().max(1)
+pub(super) fn spread_limit(fleet_size: usize) -> u32 {
+    SENDS_PER_DOUBLING * (fleet_size as u32 + 1).ilog2().max(1)
 }
 
 /// Returns the number of times that this daemon sends an update to other data centres: its
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -26,7 +26,7 @@
     /// Fetches differing records and a newer revision from a peer.
     ///
     /// Returns the number of the peer's revision, or of the own if that is not older; returns
-    /// `None` if the peer can't be reached.
+    /// `None` if one of the requests fails.
     pub(super) async fn sync_and_fetch_revision(self: Rc<Self>, peer: SocketAddr) -> Option<u64> {
         let client = self.connect(peer, "exchange").await?;
         let digests = self.membership.borrow().bucket_digests();
@@ -38,11 +38,14 @@
 
     /// Connects to a peer; counts the bytes to other data centres under `cause`.
     async fn connect(&self, peer: SocketAddr, cause: &str) -> Option<rpc::PeerRpcClient> {
-        let crossing = self.cross_centre_counter(peer, cause);
-        timeout(PEER_TIMEOUT, rpc::connect(peer, crossing)).await.ok()?
+        let byte_counter = self.cross_centre_counter(peer, cause);
+        timeout(PEER_TIMEOUT, rpc::connect(peer, byte_counter)).await.ok()?
     }
 
-    /// Fetches a peer's revision if it is newer; returns the number of the newer of the two.
+    /// Fetches a peer's revision if it is newer, and offers it to the platform thread.
+    ///
+    /// Returns the number of the newer of the two revisions; returns `None` if the request
+    /// fails or the body can't be decompressed.
     async fn fetch_newer_revision(self: Rc<Self>, client: &rpc::PeerRpcClient) -> Option<u64> {
         let own = self.active.borrow().as_ref().map_or(0, |active| active.head.revision);
         let request = client.newer_revision(tarpc::context::current(), own);
@@ -56,7 +59,7 @@
                 Some(revision)
             }
             Err(error) => {
-                warn!(self.logger, "cannot unpack revision from peer"; "revision" => revision, "why" => %error);
+                warn!(self.logger, "cannot decompress revision from peer"; "revision" => revision, "why" => %error);
                 None
             }
         }
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -65,7 +65,8 @@
     /// Whether records and revisions of peers are being fetched before joining.
     joining: RefCell<bool>,
     fetching_revision: RefCell<bool>,
-    /// Set once an attempt was made to read the platform's rows.
+    /// Set when joining starts: the platform's rows were read or could not be read, or a peer
+    /// sent a message.
     bootstrapped: Cell<bool>,
     /// Whether the followers of the store have to be selected again.
     selection_outdated: Cell<bool>,
@@ -76,7 +77,7 @@
     /// Whether the guard was told that this daemon is isolated from all others.
     reported_isolated: Cell<bool>,
     /// When the store last became unreachable or reachable.
-    store_lost_at: Cell<MicroTime>,
+    store_lost_changed_at: Cell<MicroTime>,
     /// When the last message from any peer was received.
     last_message_at: Cell<MicroTime>,
     /// Suspected requests that still have to be passed to the other threads.
@@ -127,7 +128,7 @@
         follower_role: RefCell::default(),
         following: Cell::new(false),
         reported_isolated: Cell::new(false),
-        store_lost_at: Cell::new(MicroTime(0)),
+        store_lost_changed_at: Cell::new(MicroTime(0)),
         last_message_at: Cell::new(MicroTime(0)),
         pending_suspects: RefCell::default(),
         evacuation_reported: Cell::new(true),
@@ -155,7 +156,7 @@
                 spawn_local(Rc::clone(self).join(members, reached));
             }
             PeersEvent::StoreLost(lost) => {
-                self.store_lost_at.set(self.clock.now());
+                self.store_lost_changed_at.set(self.clock.now());
                 self.step(MembershipEvent::StoreLost(lost));
             }
             PeersEvent::Config(active) => {
@@ -164,8 +165,12 @@
                 *self.active.borrow_mut() = Some(active);
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
-            PeersEvent::Evacuation(notice) => self.step(MembershipEvent::Evacuation(notice)),
-            PeersEvent::Suspects { notices, source } => self.apply_suspects(notices, source),
+            PeersEvent::Evacuation(evacuation) => {
+                self.step(MembershipEvent::Evacuation(evacuation))
+            }
+            PeersEvent::Suspects { notices: updates, source } => {
+                self.apply_suspects(updates, source)
+            }
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
             // A daemon that receives no messages is itself cut off, so the report is no sign of
             // a failed host.
@@ -204,7 +209,7 @@
                     *self.view_dirty.borrow_mut() = true;
                     self.selection_outdated.set(true);
                 }
-                MembershipAction::SuspectRequestsChanged(notices) => self.report_suspects(&notices),
+                MembershipAction::SuspectRequestsChanged(updates) => self.report_suspects(&updates),
                 MembershipAction::EvacuationChanged => self.evacuation_reported.set(false),
                 MembershipAction::FetchRevision { peer } => self.fetch_revision(peer),
                 MembershipAction::Sync { peer } => {
@@ -223,10 +228,10 @@
         }
         let membership = self.membership.borrow();
         let centres = membership.evacuation().centres.clone();
-        let own = centres.contains(&membership.own().data_centre);
-        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres, "own" => own);
+        let own_evacuated = centres.contains(&membership.own().data_centre);
+        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres, "own" => own_evacuated);
         let entry = self.rings.entry.push(EntryEvent::Evacuated(centres)).is_ok();
-        let guard = self.rings.guard.push(GuardEvent::Evacuated(own)).is_ok();
+        let guard = self.rings.guard.push(GuardEvent::Evacuated(own_evacuated)).is_ok();
         self.evacuation_reported.set(entry && guard);
     }
 
@@ -237,8 +242,8 @@
         if self.socket.try_send_to(&bytes, to).is_ok() {
             self.metrics.gossip_messages.inc();
             self.metrics.gossip_bytes.inc_by(bytes.len() as u64);
-            if let Some(crossing) = self.cross_centre_counter(to, "gossip") {
-                crossing.inc_by(bytes.len() as u64);
+            if let Some(counter) = self.cross_centre_counter(to, "gossip") {
+                counter.inc_by(bytes.len() as u64);
             }
         }
     }
@@ -319,9 +324,9 @@
         self.step(MembershipEvent::RecordsReceived(members));
         self.bootstrapped.set(true);
         let view = self.membership.borrow().view();
-        let (local, peers) = self.join_candidates(&view);
+        let (local_count, peers) = self.join_candidates(&view);
         // Without the store, the newest revision of some peers is used, local or remote.
-        let enough = if reached { local.clamp(1, JOIN_PEERS) } else { JOIN_PEERS };
+        let peers_needed = if reached { local_count.clamp(1, JOIN_PEERS) } else { JOIN_PEERS };
         if reached {
             // If no peer provides a revision in time, the platform thread reads it.
             self.finish_join(0, 0);
@@ -335,7 +340,7 @@
             synced += 1;
             newest = newest.max(revision);
             self.finish_join(synced, newest);
-            if synced >= enough {
+            if synced >= peers_needed {
                 break;
             }
         }
@@ -361,11 +366,11 @@
     }
 
     /// Lets the entry serve with the given revision or a later one.
-    fn finish_join(&self, peers: usize, least_revision: u64) {
+    fn finish_join(&self, synced_peers: usize, least_revision: u64) {
         if !self.joined.replace(true) {
             // The entry needs the members before it serves.
             self.publish_view();
-            info!(self.logger, "joined the fleet"; "peers" => peers, "least_revision" => least_revision);
+            info!(self.logger, "joined the fleet"; "peers" => synced_peers, "least_revision" => least_revision);
             drop(self.rings.entry.push(EntryEvent::Joined { least_revision }));
         }
     }
--- a/src/fleet/peers/rpc.rs
+++ b/src/fleet/peers/rpc.rs
@@ -26,7 +26,7 @@
 
 /// Largest message, in bytes; enough for all members of a fleet many times the expected
 /// size.
-const MAX_MESSAGE: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Requests of one daemon to another.
 ///
@@ -105,9 +105,12 @@
 
 /// Connects to a peer; returns `None` if it can't be reached.
 ///
-/// The counter `bytes` is increased by the bytes sent and received, if there is one.
-pub(crate) async fn connect(peer: SocketAddr, bytes: Option<IntCounter>) -> Option<PeerRpcClient> {
-    let socket = CountedSocket::open(TcpStream::connect(peer).await.ok()?, bytes);
+/// The bytes sent and received are added to `byte_counter`, if there is one.
+pub(crate) async fn connect(
+    peer: SocketAddr,
+    byte_counter: Option<IntCounter>,
+) -> Option<PeerRpcClient> {
+    let socket = CountedSocket::open(TcpStream::connect(peer).await.ok()?, byte_counter);
     let (mut sender, connection) = h2io::client().handshake(socket).await.ok()?;
     spawn_local(async move { drop(connection.await) });
     let request = Request::post(format!("http://{peer}/rpc")).body(()).ok()?;
@@ -120,7 +123,7 @@
 }
 
 fn framed(stream: ByteStream) -> Framed<ByteStream, LengthDelimitedCodec> {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE).new_framed(stream)
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_framed(stream)
 }
 
 /// `bincode` 2 codec for `tarpc`, whose built-in transport still uses `bincode` 1.
@@ -140,7 +143,7 @@
     type Error = io::Error;
 
     fn deserialize(self: Pin<&mut Self>, src: &BytesMut) -> Result<T, io::Error> {
-        let config = bincode::config::standard().with_limit::<MAX_MESSAGE>();
+        let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
         let decoded = bincode::serde::decode_from_slice(src, config);
         decoded.map(|(item, _)| item).map_err(io::Error::other)
     }
--- a/src/fleet/peers/store_role.rs
+++ b/src/fleet/peers/store_role.rs
@@ -24,7 +24,7 @@
         if !self.bootstrapped.get() {
             return;
         }
-        let retry_due = now.since(self.store_lost_at.get()) >= STORE_RETRY_INTERVAL;
+        let retry_due = now.since(self.store_lost_changed_at.get()) >= STORE_RETRY_INTERVAL;
         if retry_due && self.membership.borrow().own().store_lost {
             self.step(MembershipEvent::StoreLost(false));
         }
--- a/src/fleet/peers/suspects.rs
+++ b/src/fleet/peers/suspects.rs
@@ -12,7 +12,7 @@
 use crate::fleet::membership::MembershipEvent;
 use crate::store::blamed_requests;
 
-/// Notices that still have to be passed to other threads; if a ring is full, they are sent
+/// Updates that still have to be passed to other threads; if a ring is full, they are sent
 /// at the next step.
 #[derive(Debug, Default)]
 pub(super) struct PendingSuspects {
@@ -21,12 +21,12 @@
 }
 
 impl PendingSuspects {
-    fn add(&mut self, notices: &[SuspectUpdate]) {
-        self.entry.extend_from_slice(notices);
-        self.guard.extend_from_slice(notices);
+    fn add(&mut self, updates: &[SuspectUpdate]) {
+        self.entry.extend_from_slice(updates);
+        self.guard.extend_from_slice(updates);
     }
 
-    /// Sends the pending notices; keeps those for which a ring has no room.
+    /// Sends the pending updates; keeps those for which a ring has no room.
     pub(super) fn flush(&mut self, rings: &PeersRings) {
         if !self.entry.is_empty()
             && rings.entry.push(EntryEvent::Suspects(self.entry.clone())).is_ok()
@@ -42,19 +42,20 @@
 }
 
 impl PeersDuty {
-    /// Merges notices from this host's guard or from the store; stores the former.
+    /// Merges updates from this host's guard, an operator or the store; stores those that do
+    /// not come from the store.
     pub(super) fn apply_suspects(
         self: &Rc<Self>,
-        notices: Vec<SuspectUpdate>,
+        updates: Vec<SuspectUpdate>,
         source: SuspectSource,
     ) {
         let first_hand = source == SuspectSource::Guard;
         if first_hand {
-            for notice in &notices {
-                self.persist_blame(*notice);
+            for update in &updates {
+                self.persist_blame(*update);
             }
         }
-        self.step(MembershipEvent::SuspectRequests { notices, first_hand });
+        self.step(MembershipEvent::SuspectRequests { updates, first_hand });
     }
 
     /// Clears a suspected request; returns `false` if it was not suspected.
@@ -64,8 +65,8 @@
             return false;
         }
         info!(self.logger, "request cleared by operator"; "digest" => %digest, "crashes" => record.crashes);
-        let notice = SuspectUpdate { digest, record: record.after_clearance() };
-        self.apply_suspects(vec![notice], SuspectSource::Guard);
+        let update = SuspectUpdate { digest, record: record.after_clearance() };
+        self.apply_suspects(vec![update], SuspectSource::Guard);
         true
     }
 
@@ -73,22 +74,22 @@
     ///
     /// The store has to keep this because all daemons may lose power at once and no host has
     /// a disk.
-    fn persist_blame(&self, notice: SuspectUpdate) {
-        let before = self.membership.borrow().suspects().record(notice.digest);
-        let blamed = notice.record.is_blamed();
-        if notice.record <= before || blamed == before.is_blamed() {
+    fn persist_blame(&self, update: SuspectUpdate) {
+        let before = self.membership.borrow().suspects().record(update.digest);
+        let blamed = update.record.is_blamed();
+        if update.record <= before || blamed == before.is_blamed() {
             return;
         }
-        let write = PlatformEvent::Write(blamed_requests::row_write(notice));
+        let write = PlatformEvent::Write(blamed_requests::row_write(update));
         if self.rings.platform.push(write).is_err() {
             self.metrics.ring_drops.with_label_values(&["platform"]).inc();
         }
     }
 
-    /// Queues notices for the other threads, and logs those that change whether a request may
+    /// Queues updates for the other threads, and logs those that change whether a request may
     /// run.
-    pub(super) fn report_suspects(&self, notices: &[SuspectUpdate]) {
-        for SuspectUpdate { digest, record } in notices {
+    pub(super) fn report_suspects(&self, updates: &[SuspectUpdate]) {
+        for SuspectUpdate { digest, record } in updates {
             let belief = belief_label(*record);
             // After a first crash, the guard of the target logs all requests that ran there in
             // one line.
@@ -99,7 +100,7 @@
         }
         let blamed = self.membership.borrow().suspects().blamed().len();
         self.metrics.blamed_requests.set(i64::try_from(blamed).unwrap_or(i64::MAX));
-        self.pending_suspects.borrow_mut().add(notices);
+        self.pending_suspects.borrow_mut().add(updates);
     }
 }
 
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -30,8 +30,8 @@
 ///
 /// When many daemons start at once, each knows only a few others at first and would select
 /// itself among them. Until a daemon knows nearly the whole fleet, it therefore follows the
-/// store only if the store has its member row or had fewer than [`MAX_STORE_FOLLOWERS`]
-/// rows.
+/// store only if, at its start, the store had its member row or fewer than
+/// [`MAX_STORE_FOLLOWERS`] rows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FollowerRole {
     is_bootstrap_follower: bool,
@@ -91,8 +91,10 @@
         // No daemon reaches the store: the first ones in the order retry it.
         candidates = alive;
     }
-    let Some(me) = candidates.iter().find(|member| member.host == *own) else { return false };
-    let own_hash = selection_hash(&me.host);
+    let Some(own_member) = candidates.iter().find(|member| member.host == *own) else {
+        return false;
+    };
+    let own_hash = selection_hash(&own_member.host);
     let preceding =
         candidates.iter().filter(|member| selection_hash(&member.host) < own_hash).count();
     preceding < MAX_STORE_FOLLOWERS
--- a/tests/suspects_at_size.rs
+++ b/tests/suspects_at_size.rs
@@ -97,7 +97,7 @@
                     self.kept = Some(notice);
                 }
                 let notices = vec![notice];
-                let event = MembershipEvent::SuspectRequests { notices, first_hand: true };
+                let event = MembershipEvent::SuspectRequests { updates: notices, first_hand: true };
                 self.network.step(address(index), event);
             }
         }
@@ -126,7 +126,7 @@
         if let Some(notice) = self.kept {
             for index in 0..self.size {
                 let event =
-                    MembershipEvent::SuspectRequests { notices: vec![notice], first_hand: false };
+                    MembershipEvent::SuspectRequests { updates: vec![notice], first_hand: false };
                 self.network.step(address(index), event);
             }
         }
@@ -200,7 +200,8 @@
     play.send_for(6_000, 300, 0..69);
     let record = play.standing(0).after_clearance();
     let notices = vec![SuspectUpdate { digest: DEADLY, record }];
-    play.network.step(address(0), MembershipEvent::SuspectRequests { notices, first_hand: true });
+    play.network
+        .step(address(0), MembershipEvent::SuspectRequests { updates: notices, first_hand: true });
     play.pass(5_000);
     let held = (0..69).filter(|index| play.standing(*index).is_suspected()).count();
     assert_eq!(held, 0, "daemons that still hold it back");
