--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -187,7 +187,7 @@
     fn publish_suspects(&self, notices: Vec<SuspectUpdate>) {
         self.record_suspects(&notices);
         let source = SuspectSource::Guard;
-        if self.rings.peers.push(PeersEvent::Suspects { notices, source }).is_err() {
+        if self.rings.peers.push(PeersEvent::Suspects { updates: notices, source }).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
     }
--- a/src/durable/commits.rs
+++ b/src/durable/commits.rs
@@ -23,14 +23,14 @@
                 continue;
             }
             self.commit_batch(batch).await;
-            let pause = self.pace.borrow().delay();
+            let pause = self.commit_backoff.borrow().delay();
             tokio::time::sleep(pause.duration()).await;
         }
     }
 
     /// Queues a write; drops it if the queue is full.
     pub(super) fn enqueue(&self, pending: PendingWrite) {
-        let mut queue = self.pending.borrow_mut();
+        let mut queue = self.pending_writes.borrow_mut();
         if queue.len() >= MAX_PENDING_WRITES {
             self.metrics.ring_drops.with_label_values(&["platform_writes"]).inc();
             return;
@@ -49,14 +49,14 @@
     /// A transaction has at most one write per row: a second write of a row waits for a
     /// later transaction.
     pub(super) fn next_batch(&self) -> Vec<PendingWrite> {
-        let down = self.pace.borrow().is_down(self.clock.now());
-        let mut queue = self.pending.borrow_mut();
+        let is_down = self.commit_backoff.borrow().is_down(self.clock.now());
+        let mut queue = self.pending_writes.borrow_mut();
         let mut batch: Vec<PendingWrite> = Vec::new();
         let mut deferred = VecDeque::new();
         while let Some(pending) = queue.pop_front() {
             // While the table is down, a batch has at most one claim, to test whether it is
             // back; other claims are rejected.
-            let reject_claims = down && !batch.is_empty();
+            let reject_claims = is_down && !batch.is_empty();
             let Some(pending) = pending.unless_obsolete(reject_claims) else { continue };
             let same_row = batch.iter().chain(&deferred).any(|other| other.key() == pending.key());
             if same_row || batch.len() >= MAX_CLAIM_BATCH {
@@ -79,12 +79,12 @@
             self.metrics.claims.with_label_values(&["writes"]).inc_by(batch.len() as u64);
             batch = match reply {
                 Ok(reply) => {
-                    self.pace.borrow_mut().record_success();
+                    self.commit_backoff.borrow_mut().record_success();
                     self.apply_reply(batch, &reply)
                 }
                 Err(PlatformError::ReplyLost { .. }) => return self.read_back(batch).await,
                 Err(_not_applied) => {
-                    self.pace.borrow_mut().record_failure(self.clock.now());
+                    self.commit_backoff.borrow_mut().record_failure(self.clock.now());
                     return self.requeue(batch);
                 }
             };
@@ -101,7 +101,7 @@
         if reply.committed {
             for (pending, version) in batch.into_iter().zip(&reply.versions) {
                 if let PendingWrite::Claim(request) = pending {
-                    self.grant_claim(request, *version);
+                    self.confirm_claim(request, *version);
                 }
             }
             return Vec::new();
@@ -140,9 +140,9 @@
             match row {
                 Ok(Some(row)) => {
                     let is_own =
-                        parse_claim(&row).is_some_and(|found| found.call == request.row.call);
+                        parse_claim(&row).is_some_and(|claim| claim.call == request.row.call);
                     if is_own {
-                        self.grant_claim(request, row.version);
+                        self.confirm_claim(request, row.version);
                     } else {
                         PendingWrite::Claim(request).reject_held(&row);
                     }
@@ -154,7 +154,7 @@
     }
 
     /// Passes a written claim to its call, or releases it if the call no longer waits.
-    pub(super) fn grant_claim(&self, request: ClaimRequest, version: u64) {
+    pub(super) fn confirm_claim(&self, request: ClaimRequest, version: u64) {
         let key = request.key;
         if request.reply.send(ClaimReply::Acquired(version)).is_err() {
             self.enqueue_write(TableWrite { key, expected_version: Some(version), value: None });
@@ -163,7 +163,7 @@
 
     /// Puts a batch back at the head of the queue, in its order.
     pub(super) fn requeue(&self, batch: Vec<PendingWrite>) {
-        let mut queue = self.pending.borrow_mut();
+        let mut queue = self.pending_writes.borrow_mut();
         for pending in batch.into_iter().rev() {
             queue.push_front(pending);
         }
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -58,10 +58,10 @@
     /// The evacuated data centres as this daemon last read them from the store.
     evacuation: RefCell<EvacuationState>,
     /// Writes that wait for a transaction.
-    pending: RefCell<VecDeque<PendingWrite>>,
+    pending_writes: RefCell<VecDeque<PendingWrite>>,
     /// Notified when a write is queued.
     pending_wake: Notify,
-    pace: RefCell<CommitBackoff>,
+    commit_backoff: RefCell<CommitBackoff>,
     clock: ProcessClock,
     /// Notified to read the configuration at once.
     poll_wake: Notify,
@@ -83,7 +83,8 @@
     pub(crate) own: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) source: ConfigSource,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the whole fleet starts for the first time, so that many daemons read the rows
+    /// at once.
     pub(crate) first_start: bool,
 }
 
@@ -100,9 +101,9 @@
         client,
         revisions: RefCell::default(),
         evacuation: RefCell::default(),
-        pending: RefCell::default(),
+        pending_writes: RefCell::default(),
         pending_wake: Notify::new(),
-        pace: RefCell::new(CommitBackoff::open()),
+        commit_backoff: RefCell::new(CommitBackoff::open()),
         clock: ProcessClock::open(),
         poll_wake: Notify::new(),
         following: watch::Sender::new(false),
@@ -162,9 +163,9 @@
             "revision": revisions.active().map(|active| &active.head),
             "missing": revisions.head_to_fetch(),
             "evacuation": *self.evacuation.borrow(),
-            "writes_waiting": self.pending.borrow().len(),
-            "write_pause_ms": self.pace.borrow().delay().0 as f64 / 1_000.0,
-            "platform_down": self.pace.borrow().is_down(self.clock.now()),
+            "writes_waiting": self.pending_writes.borrow().len(),
+            "write_pause_ms": self.commit_backoff.borrow().delay().0 as f64 / 1_000.0,
+            "platform_down": self.commit_backoff.borrow().is_down(self.clock.now()),
             "fleet_size": *self.fleet_size.borrow(),
         })
     }
--- a/src/durable/revisions.rs
+++ b/src/durable/revisions.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Applies an update; returns `false` if it has no change.
+    /// Applies an update; returns whether it has a new configuration or evacuation changes.
     fn apply_update(&self, update: ConfigUpdate) -> bool {
         let has_changes = update.config.is_some() || update.evacuations.is_some();
         if let Some(why) = update.config_error {
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -104,12 +104,12 @@
     }
 
     /// Passes blamed requests to the peers thread.
-    fn send_blamed(&self, notices: Vec<SuspectUpdate>) {
-        if notices.is_empty() {
+    fn send_blamed(&self, updates: Vec<SuspectUpdate>) {
+        if updates.is_empty() {
             return;
         }
-        info!(self.logger, "blamed requests read"; "count" => notices.len());
-        let event = PeersEvent::Suspects { notices, source: SuspectSource::Store };
+        info!(self.logger, "blamed requests read"; "count" => updates.len());
+        let event = PeersEvent::Suspects { updates, source: SuspectSource::Store };
         if self.rings.peers.push(event).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -98,7 +98,7 @@
     /// Evacuations that were read from the store.
     Evacuation(EvacuationState),
     /// The records of suspected requests changed: on this host or in the store.
-    Suspects { notices: Vec<SuspectUpdate>, source: SuspectSource },
+    Suspects { updates: Vec<SuspectUpdate>, source: SuspectSource },
     /// An operator clears a request of suspicion; reply whether it was suspected.
     Forgive { digest: RequestDigest, reply: oneshot::Sender<bool> },
     /// A call could not reach a host.
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -168,9 +168,7 @@
             PeersEvent::Evacuation(evacuation) => {
                 self.step(MembershipEvent::Evacuation(evacuation))
             }
-            PeersEvent::Suspects { notices: updates, source } => {
-                self.apply_suspects(updates, source)
-            }
+            PeersEvent::Suspects { updates, source } => self.apply_suspects(updates, source),
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
             // A daemon that receives no messages is itself cut off, so the report is no sign of
             // a failed host.
--- a/src/store/blamed_requests.rs
+++ b/src/store/blamed_requests.rs
@@ -18,16 +18,16 @@
 
 /// Returns the write that stores a blamed request, or deletes the row of a request that
 /// is no longer blamed.
-pub(crate) fn row_write(notice: SuspectUpdate) -> TableWrite {
-    let value = notice.record.is_blamed().then(|| serde_json::to_string(&notice).ok()).flatten();
-    TableWrite { key: format!("{BLAMED_PREFIX}{}", notice.digest), expected_version: None, value }
+pub(crate) fn row_write(update: SuspectUpdate) -> TableWrite {
+    let value = update.record.is_blamed().then(|| serde_json::to_string(&update).ok()).flatten();
+    TableWrite { key: format!("{BLAMED_PREFIX}{}", update.digest), expected_version: None, value }
 }
 
 /// Parses the rows of blamed requests among `rows`; logs and skips unreadable ones.
 pub(crate) fn parse_rows(rows: &[TableRow], logger: &Logger) -> Vec<SuspectUpdate> {
     let blamed = rows.iter().filter(|row| row.key.starts_with(BLAMED_PREFIX)).take(MAX_ROWS);
     let parse = |row: &TableRow| match serde_json::from_str(&row.value) {
-        Ok(notice) => Some(notice),
+        Ok(update) => Some(update),
         Err(error) => {
             warn!(logger, "cannot parse blamed request row"; "key" => &row.key, "why" => %error);
             None
--- a/src/store/claim.rs
+++ b/src/store/claim.rs
@@ -29,7 +29,7 @@
     Failed,
 }
 
-/// A write that waits for a transaction.
+/// A write that waits for a table transaction.
 #[derive(Debug)]
 pub(crate) enum PendingWrite {
     /// A claim that a call waits for.
@@ -62,8 +62,8 @@
 
     /// Returns the write, or `None` if it must not be made.
     ///
-    /// That holds for a claim whose call no longer waits, and, with `reject_claims`, for
-    /// every claim; the latter is answered with [`ClaimReply::Failed`].
+    /// A claim must not be made if its call no longer waits. If `reject_claims` is set, all
+    /// other claims are answered with [`ClaimReply::Failed`].
     pub(crate) fn unless_obsolete(self, reject_claims: bool) -> Option<Self> {
         match self {
             Self::Claim(request) if request.reply.is_closed() => None,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Answers a claim whose key another call holds with the existing claim, or with
-    /// [`ClaimReply::Failed`] if `row` is no claim.
+    /// Answers a claim request whose key is held by another call: with the existing claim in
+    /// `row`, or with [`ClaimReply::Failed`] if `row` is no claim.
     pub(crate) fn reject_held(self, row: &TableRow) {
         let Self::Claim(request) = self else { return };
         let reply = match parse_claim(row) {
-            Some(found) => ClaimReply::HeldByOther { row: Box::new(found), version: row.version },
+            Some(claim) => ClaimReply::HeldByOther { row: Box::new(claim), version: row.version },
             None => ClaimReply::Failed,
         };
         drop(request.reply.send(reply));
--- a/src/store/publish.rs
+++ b/src/store/publish.rs
@@ -72,7 +72,8 @@
 ///
 /// Returns `Conflict` with the newer head if another revision was published first,
 /// `NotPublished` if the platform did not apply the change, and `OutcomeUnknown` if the
-/// platform's reply was lost and reading back the head did not show the result.
+/// platform's reply was lost and reading back the head did not show the result, or if the
+/// head that conflicts can't be parsed.
 pub async fn publish(
     client: &PlatformClient,
     config: &FleetConfig,
@@ -124,7 +125,8 @@
     }
 }
 
-/// Finds out whether this publish became the head, after the reply to its write was lost.
+/// Finds out by reading the head whether the write of `head` was applied, after the reply to
+/// it was lost.
 async fn resolve_lost_reply(
     client: &PlatformClient,
     head: RevisionHead,
