--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -4,11 +4,11 @@
 //! which the target answers the most calls per second, which may be less than its slots.
 //! A short queue holds further calls, ordered by priority, then by account (the one that
 //! uses the least of its share first), then by earliest deadline; in overload, by latest
-//! deadline instead, which puts the newest calls first. While the host is in a slow period, calls that would be late if they
-//! started now wait for its end or are sent on to another target. A cold target starts at
-//! most as many calls per second as it can sustain; the queue order decides which. A call
-//! that can't be served in time is refused at once, unless it can use capacity that no
-//! other call needs.
+//! deadline instead, which puts the newest calls first. While the host is in a slow period,
+//! calls that would be late if they started now wait for its end or are sent on to another
+//! target. A cold target starts at most as many calls per second as it can sustain; the
+//! queue order decides which. A call that can't be served in time is refused at once, unless
+//! it can use capacity that no other call needs.
 
 mod events;
 mod forecast;
@@ -77,7 +77,7 @@
     /// Latest slowness reported by the target, in percent; zero before the first report.
     slowness: u16,
     /// Moving average of the fraction of failed answers.
-    failing: f64,
+    failure_rate: f64,
     /// Whether all calls are refused because the target is leaving.
     leaving: bool,
     /// Sequence number of the latest load report.
@@ -101,7 +101,7 @@
             waiting: Vec::new(),
             service_us: INITIAL_SERVICE_US,
             slowness: 0,
-            failing: 0.0,
+            failure_rate: 0.0,
             leaving: false,
             sequence: 0,
             last_expiry: None,
@@ -129,8 +129,8 @@
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let full = !self.has_capacity();
-        let has_to_wait = |call: &WaitingCall| full || self.should_wait(call);
+        let is_full = !self.has_capacity();
+        let has_to_wait = |call: &WaitingCall| is_full || self.should_wait(call);
         debug_assert!(self.waiting.iter().all(has_to_wait), "a call waits despite a free slot");
         let is_running = |call: &WaitingCall| self.running.contains_key(&call.call);
         debug_assert!(!self.waiting.iter().any(is_running), "a call is both waiting and running");
@@ -183,10 +183,10 @@
             slots: self.limit() as u16,
             service_us: self.service_us as u32,
             slowness: self.slowness,
-            failure_permille: (self.failing * 1_000.0) as u16,
+            failure_permille: (self.failure_rate * 1_000.0) as u16,
             sequence: self.sequence,
             reported_at: self.now,
-            cold: self.cold_start.room(self.now),
+            cold: self.cold_start.allowance(self.now),
         }
     }
 
@@ -308,7 +308,7 @@
     fn finish(&mut self, call: CallId, took: Option<MicroTime>, failed: bool) {
         let Some(ended) = self.running.remove(&call) else { return };
         let Some(took) = took else { return };
-        self.failing += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failing);
+        self.failure_rate += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         // The time to a failure says nothing about the time to an answer.
         if !failed {
             self.service_us += SERVICE_WEIGHT * (took.0 as f64 - self.service_us);
@@ -356,8 +356,8 @@
     /// Starts waiting calls in queue order while the limits permit it.
     fn start_waiting(&mut self, out: &mut Vec<AdmissionAction>) {
         while self.has_capacity() {
-            let ready = |&index: &usize| !self.should_wait(&self.waiting[index]);
-            let first = (0..self.waiting.len()).filter(ready).reduce(|first, index| {
+            let may_start = |&index: &usize| !self.should_wait(&self.waiting[index]);
+            let first = (0..self.waiting.len()).filter(may_start).reduce(|first, index| {
                 let before = self.goes_before(&self.waiting[index], &self.waiting[first]);
                 if before { index } else { first }
             });
--- a/src/decide/admission/order.rs
+++ b/src/decide/admission/order.rs
@@ -49,8 +49,8 @@
 
     /// Returns the number of calls the account is running here, per thousand shares.
     fn share_usage(&self, call: &WaitingCall) -> usize {
-        let same = |running: &&RunningCall| running.account == call.account;
-        let own = self.running.values().filter(same).count();
-        own * 1_000 / usize::from(call.share.max(1))
+        let is_of_account = |running: &&RunningCall| running.account == call.account;
+        let running = self.running.values().filter(is_of_account).count();
+        running * 1_000 / usize::from(call.share.max(1))
     }
 }
--- a/src/decide/benefit.rs
+++ b/src/decide/benefit.rs
@@ -44,7 +44,7 @@
 /// are in time, the faster one is better.
 const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Multiple of the objective beyond which the expected time subtracts no more benefit.
+/// Multiple of the objective beyond which a longer expected time subtracts no more benefit.
 const MAX_LATENESS: f64 = 10.0;
 
 /// Maximum benefit subtracted for competition over the last starts at a cold target: a refusal
@@ -66,7 +66,7 @@
 
 fn choose_expected_benefit(input: &SelectionInput<'_>, rng: &mut Pcg64Mcg) -> usize {
     let estimate = CallEstimate {
-        crossing_cost: input.estimate.crossing_cost * local_choice(input),
+        crossing_cost: input.estimate.crossing_cost * local_choice_factor(input),
         ..*input.estimate
     };
     let benefits: Vec<(usize, f64)> = input
@@ -85,7 +85,7 @@
 
 /// Returns the factor applied to the crossing cost: smaller the fewer targets the local data
 /// centre has, since the calls kept there would wait for each other.
-fn local_choice(input: &SelectionInput<'_>) -> f64 {
+fn local_choice_factor(input: &SelectionInput<'_>) -> f64 {
     let local = input.eligible.iter().filter(|&&index| !input.targets[index].remote).count() as f64;
     local / (local + 1.0)
 }
@@ -129,9 +129,9 @@
         + cold_wait_us(record, now)
 }
 
-/// Returns how many calls a cold target may still start, as far as known here; `None` for a
-/// target that is not limited.
-fn cold_room(record: &TargetRecord) -> Option<f64> {
+/// Returns how many calls a cold target may still start: its reported allowance minus the
+/// calls sent since the report. Returns `None` for a target that is not limited.
+fn cold_starts_left(record: &TargetRecord) -> Option<f64> {
     let cold = record.load.cold?;
     let sent = record.outstanding.saturating_sub(record.outstanding_at_report);
     Some((f64::from(cold.available) - f64::from(sent)).max(0.0))
@@ -140,7 +140,9 @@
 /// Returns the expected time for which a call sent now would wait to start at a cold target,
 /// in microseconds.
 fn cold_wait_us(record: &TargetRecord, now: MicroTime) -> f64 {
-    let Some(cold) = record.load.cold.filter(|_| cold_room(record) < Some(1.0)) else { return 0.0 };
+    let Some(cold) = record.load.cold.filter(|_| cold_starts_left(record) < Some(1.0)) else {
+        return 0.0;
+    };
     let age = now.since(record.reported_at).0 as f64;
     (f64::from(cold.next_ms) * 1_000.0 - age).max(0.0)
 }
@@ -148,7 +150,7 @@
 /// Returns the benefit subtracted for the risk that calls of other entries start at a cold
 /// target first: the fewer starts are left, the more entries compete for each.
 fn contention_cost(record: &TargetRecord) -> f64 {
-    cold_room(record).map_or(0.0, |room| CONTENTION_WEIGHT / (1.0 + room))
+    cold_starts_left(record).map_or(0.0, |left| CONTENTION_WEIGHT / (1.0 + left))
 }
 
 /// Returns the factor by which work is expected to be slower than normal at a target now.
--- a/src/decide/call_ledger.rs
+++ b/src/decide/call_ledger.rs
@@ -26,7 +26,7 @@
 }
 
 impl ClaimRow {
-    /// Compares the row with a repeated request whose hash is `print`.
+    /// Compares the row with a repeated request that has this fingerprint.
     #[must_use]
     pub fn verdict(&self, fingerprint: &str) -> ClaimVerdict<'_> {
         if self.fingerprint != fingerprint {
@@ -52,7 +52,7 @@
     Done(Box<CallStatus>),
 }
 
-/// Record of the calls that a guard received in its present incarnation.
+/// Status of the calls that a guard received in its present incarnation.
 ///
 /// Invariants: a revoked call is never dispatched; a call is dispatched at most once; the entry
 /// of a revoked or finished call is kept for [`LEDGER_RETENTION`], that of a finished repeatable
@@ -67,8 +67,8 @@
 impl CallLedger {
     /// Records the arrival of a call; returns `false` if the call must not run.
     ///
-    /// This is so if its id is known, as that of a late copy, a repeat or a revoked call, or if
-    /// the ledger is full.
+    /// A call must not run if its id is known, because it is a late copy, a repeat or a revoked
+    /// call, or if the ledger is full.
     pub fn arrive(&mut self, now: MicroTime, call: CallId) -> bool {
         self.drop_expired(now);
         if self.entries.len() >= LEDGER_CAPACITY || self.entries.contains_key(&call) {
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -7,7 +7,7 @@
 //!
 //! The state of a target is known from its heartbeats, which are infrequent and may arrive
 //! late, and from its answers to health checks, which are up to date. An answer replaces
-//! the known state; a heartbeat can only extend the time for which the target is cold.
+//! the known state; a heartbeat can only extend a known cold period.
 
 use std::collections::VecDeque;
 
@@ -67,7 +67,7 @@
 const MAX_COLD_TIME: MicroTime = MicroTime::from_millis(60_000);
 
 /// Time after which a target that is assumed cold and reports nothing counts as warm: by
-/// then a restarted target would be warm, and a running one has been asked several times.
+/// then a restarted target would be warm, and a running one has had several health checks.
 const ASSUMED_COLD_TIME: MicroTime = MicroTime::from_millis(5_000);
 
 /// Known state of a target.
@@ -93,7 +93,7 @@
     state: ColdState,
     /// Start times of the calls within [`COLD_RATE_WINDOW`], oldest first.
     #[serde(rename = "begun")]
-    started: VecDeque<MicroTime>,
+    start_times: VecDeque<MicroTime>,
     /// Time before which no call starts, since the calls recently started by an earlier
     /// guard are unknown.
     blocked_until: MicroTime,
@@ -104,7 +104,7 @@
         Self {
             max_rate: None,
             state: ColdState::Until(MicroTime(0)),
-            started: VecDeque::new(),
+            start_times: VecDeque::new(),
             blocked_until: MicroTime(0),
         }
     }
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Records the target's answer to a health check: it stays cold for `left`.
+    /// Records the target's answer to a health check: it stays cold for `left`, or is warm if
+    /// `left` is zero.
     pub fn note_health_answer(&mut self, now: MicroTime, left: MicroTime) {
         self.state = ColdState::Until(reported_end(now, left));
     }
@@ -180,7 +181,7 @@
     /// Records that a call starts now.
     pub fn record_start(&mut self, now: MicroTime) {
         self.drop_expired(now);
-        self.started.push_back(now);
+        self.start_times.push_back(now);
     }
 
     /// Returns the time until a call may start if `ahead` other calls start before it.
@@ -199,12 +200,16 @@
         self.wait_behind(now, 0) == MicroTime(0)
     }
 
-    /// Returns how many calls may start, or `None` if the target is warm or unlimited.
+    /// Returns how many calls may start now and when the next one may, or `None` if the target
+    /// is warm or unlimited.
     #[must_use]
-    pub fn room(&self, now: MicroTime) -> Option<ColdAllowance> {
+    pub fn allowance(&self, now: MicroTime) -> Option<ColdAllowance> {
         let max_calls = self.max_calls().filter(|_| self.is_cold(now))?;
-        let counted =
-            self.started.iter().filter(|started| now.since(**started) < COLD_RATE_WINDOW).count();
+        let counted = self
+            .start_times
+            .iter()
+            .filter(|started| now.since(**started) < COLD_RATE_WINDOW)
+            .count();
         let free = if now < self.blocked_until { 0 } else { max_calls.saturating_sub(counted) };
         let next_ms = self.wait_behind(now, free).ceil_millis();
         Some(ColdAllowance {
@@ -230,16 +235,20 @@
     /// possible: as soon as the call started `max_calls` before it has left the window.
     fn start_time(&self, now: MicroTime, max_calls: usize, ahead: usize) -> MicroTime {
         let windows = ahead / max_calls;
-        let position = self.started.len() + ahead % max_calls;
-        let oldest = position.checked_sub(max_calls).and_then(|index| self.started.get(index));
+        let position = self.start_times.len() + ahead % max_calls;
+        let oldest = position.checked_sub(max_calls).and_then(|index| self.start_times.get(index));
         let first = oldest.map_or(now, |started| (*started + COLD_RATE_WINDOW).max(now));
         first.max(self.blocked_until) + MicroTime(COLD_RATE_WINDOW.0 * windows as u64)
     }
 
     /// Drops the starts that have left the window.
     fn drop_expired(&mut self, now: MicroTime) {
-        while self.started.front().is_some_and(|started| now.since(*started) >= COLD_RATE_WINDOW) {
-            self.started.pop_front();
+        while self
+            .start_times
+            .front()
+            .is_some_and(|started| now.since(*started) >= COLD_RATE_WINDOW)
+        {
+            self.start_times.pop_front();
         }
     }
 }
--- a/src/decide/commit_backoff.rs
+++ b/src/decide/commit_backoff.rs
@@ -1,7 +1,7 @@
 //! Delay between a daemon's transactions, which keeps the fleet within the table's rate limit.
 //!
 //! The table rejects transactions above its rate. A daemon whose transaction was rejected waits
-//! longer and sends more updates in its next one; a daemon whose transactions are processed
+//! longer and puts more writes into its next one; a daemon whose transactions are processed
 //! shortens its delay gradually.
 
 use crate::base::clock::MicroTime;
--- a/src/decide/crash_suspects.rs
+++ b/src/decide/crash_suspects.rs
@@ -25,14 +25,14 @@
 /// short: a day, since it may belong to a daily job.
 const SUSPECT_RETENTION: MicroTime = MicroTime::from_millis(24 * 3_600 * 1_000);
 
-/// Effect of merging a notice.
+/// Effect of merging an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoticeEffect {
-    /// The notice is newer than the known record and replaced it.
+pub enum MergeEffect {
+    /// The update is newer than the known record and replaced it.
     New,
-    /// The notice equals the known record.
+    /// The update equals the known record.
     Known,
-    /// The known record is newer than the notice.
+    /// The known record is newer than the update.
     Outdated,
 }
 
@@ -61,18 +61,18 @@
         self.suspects.get(&digest).map(|known| known.record).unwrap_or_default()
     }
 
-    /// Merges the record of a notice into the known one.
-    pub fn merge(&mut self, now: MicroTime, notice: SuspectUpdate) -> NoticeEffect {
-        let SuspectUpdate { digest, record } = notice;
+    /// Merges the record of an update into the known one.
+    pub fn merge(&mut self, now: MicroTime, update: SuspectUpdate) -> MergeEffect {
+        let SuspectUpdate { digest, record } = update;
         let before = self.record(digest);
         if record <= before {
-            return if record < before { NoticeEffect::Outdated } else { NoticeEffect::Known };
+            return if record < before { MergeEffect::Outdated } else { MergeEffect::Known };
         }
         self.toggle_blamed_hash(digest, before);
         self.toggle_blamed_hash(digest, record);
         self.suspects.insert(digest, KnownSuspect { record, changed_at: now });
         self.evict_excess(now);
-        NoticeEffect::New
+        MergeEffect::New
     }
 
     /// Returns the number of remembered requests.
@@ -101,18 +101,18 @@
 
     /// Returns all remembered requests, ordered by digest.
     #[must_use]
-    pub fn notices(&self) -> Vec<SuspectUpdate> {
+    pub fn updates(&self) -> Vec<SuspectUpdate> {
         self.select(|_record| true)
     }
 
-    fn select(&self, wanted: impl Fn(SuspectRecord) -> bool) -> Vec<SuspectUpdate> {
+    fn select(&self, is_selected: impl Fn(SuspectRecord) -> bool) -> Vec<SuspectUpdate> {
         let all = self.suspects.iter();
-        let mut notices: Vec<SuspectUpdate> = all
+        let mut updates: Vec<SuspectUpdate> = all
             .map(|(digest, known)| SuspectUpdate { digest: *digest, record: known.record })
-            .filter(|notice| wanted(notice.record))
+            .filter(|update| is_selected(update.record))
             .collect();
-        notices.sort_unstable_by_key(|notice| notice.digest);
-        notices
+        updates.sort_unstable_by_key(|update| update.digest);
+        updates
     }
 
     /// Adds a blamed request to the hash, or removes it if it is included already.
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -196,14 +196,14 @@
 
     /// Checks the invariants, in builds with debug assertions.
     fn check(&self) {
-        let increasing =
+        let is_increasing =
             self.levels.is_sorted_by(|left, right| left.max_running < right.max_running);
-        debug_assert!(increasing, "levels are not increasing: {:?}", self.levels);
+        debug_assert!(is_increasing, "levels are not increasing: {:?}", self.levels);
         let maximum = self.levels.last().map(|last| last.max_running);
         debug_assert!(maximum == Some(self.slots), "the last level does not have all slots");
-        let ordered = self.lowered <= self.level && self.level <= self.raised;
+        let is_ordered = self.lowered <= self.level && self.level <= self.raised;
         debug_assert!(
-            ordered,
+            is_ordered,
             "lowered {}, level {} and raised {} are out of order",
             self.lowered, self.level, self.raised
         );
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -70,7 +70,7 @@
         QuotaDecision::AskHolder((1 + expected as u16).min(MAX_ASKED))
     }
 
-    /// Adds the requests granted in reply to a question that was sent at `asked`.
+    /// Adds the requests that a holder granted; it was asked for them at `asked`.
     pub fn add_grant(&mut self, asked: MicroTime, granted: u16) {
         if granted > 0 {
             self.grants.push_back((asked + GRANT_LIFETIME, granted));
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -11,7 +11,7 @@
 /// Half-life of the remembered size of the fleet, in seconds.
 const SIZE_HALF_LIFE_S: f64 = 60.0;
 
-/// Tracks whether a daemon sees at least half of the fleet.
+/// Tracks whether at least half of the fleet is alive in the view of a daemon.
 ///
 /// A holder that is partitioned from the rest must not grant requests that its replacement
 /// grants as well.
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -30,6 +30,7 @@
 /// preceding window if all entries that ask have started since.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuotaWindow {
+    /// Number of requests that the part permits in a window.
     limit: f64,
     /// Length of the window.
     span: MicroTime,
--- a/src/decide/registry.rs
+++ b/src/decide/registry.rs
@@ -89,14 +89,14 @@
         tried: &[TargetName],
         estimate: &CallEstimate,
     ) -> Option<usize> {
-        let fits = |target: &TargetRecord| {
+        let is_suitable = |target: &TargetRecord| {
             !tried.contains(&target.name) && benefit::is_promising(target, now, estimate)
         };
         let rank = |target: &TargetRecord| {
             RequestDigest::of(&[&digest.0.to_le_bytes(), target.name.as_str().as_bytes()])
         };
-        let fitting = self.targets.iter().enumerate().filter(|(_, target)| fits(target));
-        let (index, _) = fitting.max_by_key(|(_, target)| rank(target))?;
+        let suitable = self.targets.iter().enumerate().filter(|(_, target)| is_suitable(target));
+        let (index, _) = suitable.max_by_key(|(_, target)| rank(target))?;
         self.targets[index].outstanding += 1;
         Some(index)
     }
@@ -122,13 +122,13 @@
 
     /// Updates the registry to a new fleet view; the records of remaining targets are kept.
     ///
-    /// `centre` is the entry's own data centre. Targets of the data centres in `evacuated` are
+    /// `own_centre` is the entry's data centre. Targets of the data centres in `evacuated` are
     /// left out.
     pub fn update(
         &mut self,
         now: MicroTime,
         view: &FleetView,
-        centre: &CentreName,
+        own_centre: &CentreName,
         evacuated: &BTreeSet<CentreName>,
     ) {
         let mut updated: HashMap<ServiceName, ServiceTargets> = HashMap::new();
@@ -141,7 +141,7 @@
             };
             for target in member.targets.iter().filter(|target| target.ready) {
                 let known = self.take(&target.service, &target.name, &location);
-                let joined = || {
+                let new_record = || {
                     TargetRecord::new(
                         target.name.clone(),
                         Some(location.clone()),
@@ -149,8 +149,8 @@
                         now,
                     )
                 };
-                let mut record = known.unwrap_or_else(joined);
-                record.remote = member.data_centre != *centre;
+                let mut record = known.unwrap_or_else(new_record);
+                record.remote = member.data_centre != *own_centre;
                 record.suspect = member.is_suspect();
                 updated.entry(target.service.clone()).or_default().targets.push(record);
             }
@@ -166,10 +166,10 @@
         location: &TargetLocation,
     ) -> Option<TargetRecord> {
         let targets = &mut self.services.get_mut(service)?.targets;
-        let same = |target: &TargetRecord| {
+        let is_same = |target: &TargetRecord| {
             target.name == *name && target.location.as_ref() == Some(location)
         };
-        let index = targets.iter().position(same)?;
+        let index = targets.iter().position(is_same)?;
         Some(targets.swap_remove(index))
     }
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -169,26 +169,26 @@
         budget: &mut RetryBudget,
     ) -> RetryDecision {
         self.ended += 1;
-        let more = in_time && self.ended < MAX_ATTEMPTS;
+        let may_continue = in_time && self.ended < MAX_ATTEMPTS;
         match result {
             AttemptResult::Answered => {
                 budget.record_success();
                 return RetryDecision::Deliver;
             }
-            AttemptResult::Refused | AttemptResult::TakeOver if more => {
+            AttemptResult::Refused | AttemptResult::TakeOver if may_continue => {
                 return RetryDecision::Retry;
             }
             AttemptResult::Refused | AttemptResult::TakeOver => {}
             AttemptResult::Declined => {
                 self.sent += 1;
-                if more && self.sent < self.max_sent && budget.try_take() {
+                if may_continue && self.sent < self.max_sent && budget.try_take() {
                     return RetryDecision::Retry;
                 }
             }
             AttemptResult::Lost | AttemptResult::Failed => {
                 self.may_have_run = true;
                 self.sent += 1;
-                let may_retry = more && self.repeatable && self.sent < self.max_sent;
+                let may_retry = may_continue && self.repeatable && self.sent < self.max_sent;
                 if may_retry && budget.try_take() {
                     return RetryDecision::Retry;
                 }
--- a/src/decide/running_requests.rs
+++ b/src/decide/running_requests.rs
@@ -59,15 +59,15 @@
     pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectUpdate> {
         let recent = self.abandoned.drain(..).filter(|(at, _)| now.since(*at) < ABANDONED_RUN_TIME);
         let runs = self.running.drain().map(|(_, run)| run).chain(recent.map(|(_, run)| run));
-        let mut greatest: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
+        let mut records: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
         for run in runs {
             let record = run.record_at_start.after_crash();
-            let known = greatest.entry(run.digest).or_default();
+            let known = records.entry(run.digest).or_default();
             *known = record.max(*known);
         }
-        let notices = greatest.into_iter().map(|(digest, record)| SuspectUpdate { digest, record });
-        let mut notices: Vec<SuspectUpdate> = notices.collect();
-        notices.sort_unstable_by_key(|notice| notice.digest);
-        notices
+        let updates = records.into_iter().map(|(digest, record)| SuspectUpdate { digest, record });
+        let mut updates: Vec<SuspectUpdate> = updates.collect();
+        updates.sort_unstable_by_key(|update| update.digest);
+        updates
     }
 }
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -174,8 +174,8 @@
     /// Returns whether the target is avoided while there are others: it is ejected, or its host
     /// is suspect and there is no recent report.
     pub(crate) fn is_avoided(&self, now: MicroTime) -> bool {
-        let silent = now.since(self.reported_at) >= RECENT_REPORT;
-        self.ejected_until > now || (self.suspect && silent)
+        let is_silent = now.since(self.reported_at) >= RECENT_REPORT;
+        self.ejected_until > now || (self.suspect && is_silent)
     }
 
     fn record_failure(&mut self, now: MicroTime) {
@@ -220,10 +220,10 @@
         let ahead = self.calls_ahead(now, LOAD_HALF_LIFE_US);
         let wait = (ahead + 1.0 - slots).max(0.0) / slots;
         let utilisation = ahead / slots;
-        let failing = f64::from(self.load.failure_permille) / 1_000.0;
+        let failure_rate = f64::from(self.load.failure_permille) / 1_000.0;
         let cost = service
             * (1.0 + wait + UTILISATION_WEIGHT * utilisation)
-            * (1.0 + FAILURE_COST * failing);
+            * (1.0 + FAILURE_COST * failure_rate);
         let ramp = now.since(self.joined_at).0 as f64 / SLOW_START_US;
         cost / ramp.clamp(0.1, 1.0)
     }
--- a/src/fleet/membership/suspect_requests.rs
+++ b/src/fleet/membership/suspect_requests.rs
@@ -21,7 +21,7 @@
 use crate::base::digest::RequestDigest;
 use crate::base::member::{GossipKind, GossipMessage};
 use crate::base::suspect::{SuspectRecord, SuspectUpdate};
-use crate::decide::crash_suspects::{CrashSuspects, NoticeEffect};
+use crate::decide::crash_suspects::{CrashSuspects, MergeEffect};
 
 /// Maximum size of an encoded update, in bytes: a digest and two numbers.
 pub(super) const SUSPECT_UPDATE_BYTES: usize = 24;
@@ -66,16 +66,16 @@
     fn merge(&mut self, now: MicroTime, update: SuspectUpdate) -> bool {
         let effect = self.suspects.merge(now, update);
         match effect {
-            NoticeEffect::New => _ = self.send_counts.insert(update.digest, 0),
-            NoticeEffect::Known => {
+            MergeEffect::New => _ = self.send_counts.insert(update.digest, 0),
+            MergeEffect::Known => {
                 if let Some(sent) = self.send_counts.get_mut(&update.digest) {
                     *sent += SENDS_PER_RECEIPT;
                 }
             }
             // The sender has to get the newer record.
-            NoticeEffect::Outdated => _ = self.send_counts.entry(update.digest).or_insert(0),
+            MergeEffect::Outdated => _ = self.send_counts.entry(update.digest).or_insert(0),
         }
-        effect == NoticeEffect::New
+        effect == MergeEffect::New
     }
 
     /// Returns the updates to piggyback on a message, those with the most crashes first, and
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -380,7 +380,7 @@
             "joined": *self.joined.borrow(),
             "updates_left": membership.updates_left(),
             "evacuation": membership.evacuation(),
-            "suspects": membership.suspects().notices(),
+            "suspects": membership.suspects().updates(),
             "members": membership.view().members,
         })
     }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -163,7 +163,7 @@
 fn a_target_without_a_bound_takes_what_comes() {
     let mut limit = ColdStartLimit::default();
     limit.note_health_answer(MicroTime(0), SECOND);
-    assert!(limit.may_start(MicroTime(0)) && limit.room(MicroTime(0)).is_none());
+    assert!(limit.may_start(MicroTime(0)) && limit.allowance(MicroTime(0)).is_none());
 }
 
 #[test]
--- a/tests/crash_suspects.rs
+++ b/tests/crash_suspects.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use railspan::{
-    BLAMED_AFTER_CRASHES, CallId, CrashSuspects, MAX_SUSPECTS, MicroTime, NoticeEffect,
+    BLAMED_AFTER_CRASHES, CallId, CrashSuspects, MAX_SUSPECTS, MergeEffect, MicroTime,
     RequestDigest, RunningRequests, SuspectRecord, SuspectUpdate, TrackedRequest,
 };
 
@@ -59,9 +59,9 @@
     let record = crash(&mut suspects, &[DEADLY])[0].record.after_clearance();
     assert_eq!(
         suspects.merge(MicroTime(0), SuspectUpdate { digest: DEADLY, record }),
-        NoticeEffect::New
+        MergeEffect::New
     );
-    assert_eq!(suspects.merge(MicroTime(0), early), NoticeEffect::Outdated);
+    assert_eq!(suspects.merge(MicroTime(0), early), MergeEffect::Outdated);
     assert!(!suspects.record(DEADLY).is_suspected());
 }
 
@@ -134,7 +134,7 @@
         for notice in notices.iter().rev() {
             other.merge(MicroTime(0), *notice);
         }
-        prop_assert_eq!(one.notices(), other.notices());
+        prop_assert_eq!(one.updates(), other.updates());
         prop_assert_eq!(one.blamed_hash(), other.blamed_hash());
         prop_assert_eq!(one.blamed_hash() == 0, one.blamed().is_empty());
     }
