--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -70,10 +70,10 @@
         QuotaDecision::AskHolder((1 + expected as u16).min(MAX_ASKED))
     }
 
-    /// Adds the requests that a holder granted; it was asked for them at `asked`.
-    pub fn add_grant(&mut self, asked: MicroTime, granted: u16) {
+    /// Adds the requests that a holder granted; it was asked for them at `asked_at`.
+    pub fn add_grant(&mut self, asked_at: MicroTime, granted: u16) {
         if granted > 0 {
-            self.grants.push_back((asked + GRANT_LIFETIME, granted));
+            self.grants.push_back((asked_at + GRANT_LIFETIME, granted));
         }
     }
 
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -97,7 +97,7 @@
         changes
     }
 
-    /// Grants up to `want` requests of an account; returns `None` if its quota is not held
+    /// Grants up to `requested` requests of an account; returns `None` if its quota is not held
     /// here.
     ///
     /// `settled` tells whether the entry that asks has run for at least a window.
@@ -105,9 +105,9 @@
         &mut self,
         now: MicroTime,
         account: &AccountName,
-        want: u16,
+        requested: u16,
         settled: bool,
     ) -> Option<QuotaGrant> {
-        Some(self.windows.get_mut(account)?.grant(now, want, settled))
+        Some(self.windows.get_mut(account)?.grant(now, requested, settled))
     }
 }
--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -4,7 +4,7 @@
 //! `window`), and grant requests to the entries that ask for them (`credit`). This keeps
 //! an account that is far above its quota, at one entry or at all of them, within it while
 //! hosts crash, are partitioned and restart. The part of a failed holder is not given to
-//! another one before the fleet considers the first one dead, so that neither a partition
+//! another one before the fleet considers that holder dead, so that neither a partition
 //! nor a restart grants a part twice.
 
 mod credit;
@@ -63,8 +63,8 @@
         permitted * (1.0 + GRANTED_TOLERANCE * terms.over) + GRANTED_TOLERANCE * terms.slack
     }
 
-    /// Returns the number of daemons that hold the quota: no more than each can hold at least
-    /// one request of a window.
+    /// Returns the number of daemons that hold the quota: at most so many that each holds at
+    /// least one request per window.
     #[must_use]
     pub fn holders(self, terms: QuotaTerms) -> usize {
         (self.per_window(terms) as usize).clamp(1, MAX_HOLDERS)
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -13,7 +13,7 @@
 /// Number of slots into which a window is divided.
 const SLOTS: u64 = 50;
 
-/// Reply of a holder to an entry that asks for requests.
+/// Reply of a holder to an entry that asks for a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// Number of requests that the entry may let through.
@@ -25,9 +25,9 @@
 /// One holder's part of an account's quota.
 ///
 /// Invariant: in no window more requests are used than the part permits. A new window counts
-/// as used up, since another holder may just have granted all of it. This use counts as made
-/// at once if an entry asks that may have got those grants, and as spread evenly over the
-/// preceding window if all entries that ask have started since.
+/// as used up, since another holder may just have granted all of it. Once an entry asks that
+/// may have got those grants, they count as made when the window was opened; as long as only
+/// entries ask that have started since, they count as spread evenly over the window before.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuotaWindow {
     /// Number of requests that the part permits in a window.
@@ -75,14 +75,14 @@
         changed
     }
 
-    /// Grants up to `want` requests to an entry; `settled` tells whether that entry has run
+    /// Grants up to `requested` requests to an entry; `settled` tells whether that entry has run
     /// for at least a window.
-    pub fn grant(&mut self, now: MicroTime, want: u16, settled: bool) -> QuotaGrant {
+    pub fn grant(&mut self, now: MicroTime, requested: u16, settled: bool) -> QuotaGrant {
         if settled {
             self.count_prior_use_at_once();
         }
         self.drop_expired(now);
-        let granted = (self.limit - self.granted).floor().min(f64::from(want)).max(0.0);
+        let granted = (self.limit - self.granted).floor().min(f64::from(requested)).max(0.0);
         if granted > 0.0 {
             self.record(now, granted);
             return QuotaGrant { granted: granted as u16, wait_ms: 0 };
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -51,7 +51,7 @@
     /// has provided one.
     pub(super) async fn bootstrap(self: Rc<Self>, own: MemberRecord, first_start: bool) {
         if first_start {
-            // All daemons start at once: most are to find the rows of those before them.
+            // All daemons start at once; most of them should find the rows of earlier ones.
             let delay = FIRST_START_JITTER.mul_f64(self.rng.borrow_mut().random_range(0.0..1.0));
             tokio::time::sleep(delay).await;
         }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -96,7 +96,8 @@
     /// The newest known evacuation state; every message carries it.
     evacuation: EvacuationState,
     suspect_queue: SuspectQueue,
-    /// Set when another record of the own host was refuted, until notices of the new own record are sent.
+    /// Set when another record of the own host was refuted, until notices of the new own record
+    /// are sent.
     refutation_due: bool,
 }
 
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -24,13 +24,14 @@
 /// while a daemon that is itself cut off suspects only a few members.
 const MAX_UNREACHED_PROBES: usize = 4;
 
-/// Longest wait for the answer to such a probe.
+/// Longest wait for the answer to the probe of a member that a call could not reach.
 const UNREACHED_PROBE_TIMEOUT: MicroTime = MicroTime::from_millis(250);
 
 /// Periods between two probes of a dead member.
 const DEAD_PROBE_PERIODS: u64 = 2;
 
-/// Time for which a dead member is remembered; longer than network partitions last.
+/// Time for which a dead member is remembered: longer than network partitions are expected
+/// to last.
 const DEAD_RETENTION: MicroTime = MicroTime::from_millis(4 * 3_600_000);
 
 /// Time for which a member that has left is remembered.
@@ -230,7 +231,8 @@
         out.push(MembershipAction::Send { to, message });
     }
 
-    /// Completes the answered probe; for a probe on behalf of another daemon, informs that one.
+    /// Completes the answered probe; if it was made on behalf of another daemon, informs that
+    /// daemon.
     pub(super) fn handle_ack(
         &mut self,
         sender: &HostName,
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -166,7 +166,7 @@
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Evacuation(evacuation) => {
-                self.step(MembershipEvent::Evacuation(evacuation))
+                self.step(MembershipEvent::Evacuation(evacuation));
             }
             PeersEvent::Suspects { updates, source } => self.apply_suspects(updates, source),
             PeersEvent::Forgive { digest, reply } => _ = reply.send(self.forgive(digest)),
