--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -80,8 +80,7 @@
     unreached_probes: Vec<PendingProbe>,
     /// Unanswered probes on behalf of other daemons.
     proxies: Vec<ProxyProbe>,
-    /// Number of the last message that this daemon sent unasked; a reply has the number of
-    /// the message that it answers.
+    /// Number of the last message sent; a reply has the number of the message answered.
     last_number: u64,
     period: u64,
     next_period: MicroTime,
@@ -96,8 +95,7 @@
     /// The newest known evacuation state; every message carries it.
     evacuation: EvacuationState,
     suspect_queue: SuspectQueue,
-    /// Set when another record of the own host was refuted, until notices of the new own record
-    /// are sent.
+    /// Whether notices of the own record are due because another one was refuted.
     refutation_due: bool,
 }
 
