--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -11,7 +11,7 @@
 /// Half-life of the remembered size of the fleet, in seconds.
 const SIZE_HALF_LIFE_S: f64 = 60.0;
 
-/// Tracks whether a daemon sees at least half of the fleet.
+/// Tracks whether at least half of the fleet is alive in the view of a daemon.
 ///
 /// A holder that is partitioned from the rest must not grant requests that its replacement
 /// grants as well.
@@ -97,7 +97,7 @@
         changes
     }
 
-    /// Grants up to `want` requests of an account; returns `None` if its quota is not held
+    /// Grants up to `requested` requests of an account; returns `None` if its quota is not held
     /// here.
     ///
     /// `settled` tells whether the entry that asks has run for at least a window.
@@ -105,9 +105,9 @@
         &mut self,
         now: MicroTime,
         account: &AccountName,
-        want: u16,
+        requested: u16,
         settled: bool,
     ) -> Option<QuotaGrant> {
-        Some(self.windows.get_mut(account)?.grant(now, want, settled))
+        Some(self.windows.get_mut(account)?.grant(now, requested, settled))
     }
 }
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -51,7 +51,7 @@
     /// has provided one.
     pub(super) async fn bootstrap(self: Rc<Self>, own: MemberRecord, first_start: bool) {
         if first_start {
-            // All daemons start at once: most are to find the rows of those before them.
+            // All daemons start at once; most of them should find the rows of earlier ones.
             let delay = FIRST_START_JITTER.mul_f64(self.rng.borrow_mut().random_range(0.0..1.0));
             tokio::time::sleep(delay).await;
         }
@@ -104,12 +104,12 @@
     }
 
     /// Passes blamed requests to the peers thread.
-    fn send_blamed(&self, notices: Vec<SuspectUpdate>) {
-        if notices.is_empty() {
+    fn send_blamed(&self, updates: Vec<SuspectUpdate>) {
+        if updates.is_empty() {
             return;
         }
-        info!(self.logger, "blamed requests read"; "count" => notices.len());
-        let event = PeersEvent::Suspects { updates: notices, source: SuspectSource::Store };
+        info!(self.logger, "blamed requests read"; "count" => updates.len());
+        let event = PeersEvent::Suspects { updates, source: SuspectSource::Store };
         if self.rings.peers.push(event).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
         }
