--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The admission queue of a target, under any order of events.
+//! Admission queue of a target under arbitrary sequences of events.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -13,12 +13,13 @@
 use seeded::seeded;
 use test_case::test_case;
 
+/// One step of a random sequence; `index` selects one of the present calls.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { account: u8, urgent: bool, worth: u8, left_us: u64 },
-    Finish { pick: usize, failed: bool },
-    Cancel { pick: usize },
-    Pass { us: u64 },
+    Arrive { account: u8, urgent: bool, worth: u8, remaining_us: u64 },
+    Finish { index: usize, failed: bool },
+    Cancel { index: usize },
+    AdvanceTime { us: u64 },
     Leave,
     Rejoin,
 }
@@ -26,10 +27,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0_u8..4, any::<bool>(), 1_u8..5, 0_u64..60_000)
-            .prop_map(|(account, urgent, worth, left_us)| Step::Arrive { account, urgent, worth, left_us }),
-        4 => (any::<usize>(), any::<bool>()).prop_map(|(pick, failed)| Step::Finish { pick, failed }),
-        1 => any::<usize>().prop_map(|pick| Step::Cancel { pick }),
-        3 => (0_u64..20_000).prop_map(|us| Step::Pass { us }),
+            .prop_map(|(account, urgent, worth, remaining_us)| Step::Arrive { account, urgent, worth, remaining_us }),
+        4 => (any::<usize>(), any::<bool>()).prop_map(|(index, failed)| Step::Finish { index, failed }),
+        1 => any::<usize>().prop_map(|index| Step::Cancel { index }),
+        3 => (0_u64..20_000).prop_map(|us| Step::AdvanceTime { us }),
         1 => Just(Step::Leave),
         1 => Just(Step::Rejoin),
     ]
@@ -55,31 +56,31 @@
     fn every_call_is_started_or_refused_once(slots in 1_u16..6, steps in proptest::collection::vec(step(), 1..200)) {
         let mut queue = AdmissionQueue::open(slots);
         let mut now = MicroTime(0);
-        let mut open: HashMap<CallId, MicroTime> = HashMap::new();
+        let mut waiting: HashMap<CallId, MicroTime> = HashMap::new();
         let mut running: Vec<CallId> = Vec::new();
-        let mut ended: HashSet<CallId> = HashSet::new();
+        let mut decided: HashSet<CallId> = HashSet::new();
         for (number, step) in steps.into_iter().enumerate() {
             let mut out = Vec::new();
             match step {
-                Step::Arrive { account, urgent, worth, left_us } => {
-                    let deadline = now + MicroTime(left_us);
+                Step::Arrive { account, urgent, worth, remaining_us } => {
+                    let deadline = now + MicroTime(remaining_us);
                     let call = waiting_call(number as u128, account, CallPriority { urgent, worth }, deadline);
-                    open.insert(call.call, deadline);
+                    waiting.insert(call.call, deadline);
                     queue.step(now, AdmissionEvent::Arrive(call), &mut out);
                 }
-                Step::Finish { pick, failed } if !running.is_empty() => {
-                    let call = running.swap_remove(pick % running.len());
+                Step::Finish { index, failed } if !running.is_empty() => {
+                    let call = running.swap_remove(index % running.len());
                     let took = Some(MicroTime(3_000));
                     queue.step(now, AdmissionEvent::Finish { call, took, failed }, &mut out);
                 }
-                Step::Cancel { pick } if !open.is_empty() => {
-                    let mut calls: Vec<CallId> = open.keys().copied().collect();
+                Step::Cancel { index } if !waiting.is_empty() => {
+                    let mut calls: Vec<CallId> = waiting.keys().copied().collect();
                     calls.sort_unstable();
-                    let call = calls[pick % calls.len()];
-                    open.remove(&call);
+                    let call = calls[index % calls.len()];
+                    waiting.remove(&call);
                     queue.step(now, AdmissionEvent::Cancel(call), &mut out);
                 }
-                Step::Pass { us } => {
+                Step::AdvanceTime { us } => {
                     now = now + MicroTime(us);
                     queue.step(now, AdmissionEvent::Tick, &mut out);
                 }
@@ -89,12 +90,12 @@
             }
             for action in out {
                 let (AdmissionAction::Start(call) | AdmissionAction::Refuse { call, .. }) = action;
-                let deadline = open.remove(&call);
-                prop_assert!(deadline.is_some(), "an answer for a call that waits no more");
-                prop_assert!(ended.insert(call), "two answers for one call");
+                let deadline = waiting.remove(&call);
+                prop_assert!(deadline.is_some(), "decision about a call that no longer waits");
+                prop_assert!(decided.insert(call), "two decisions about one call");
                 if let AdmissionAction::Start(call) = action {
                     prop_assert!(deadline > Some(now), "started after its deadline");
-                    prop_assert!(!queue.is_leaving(), "started while leaving");
+                    prop_assert!(!queue.is_leaving(), "started while the target leaves");
                     prop_assert!(running.len() < queue.limit(), "started beyond the limit");
                     running.push(call);
                 }
@@ -102,19 +103,19 @@
             prop_assert!(queue.limit() <= usize::from(slots));
             prop_assert!(running.len() <= queue.limit());
             prop_assert_eq!(queue.running(), running.len());
-            prop_assert_eq!(queue.waiting(), open.len());
-            prop_assert!(open.is_empty() || running.len() == queue.limit());
+            prop_assert_eq!(queue.waiting(), waiting.len());
+            prop_assert!(waiting.is_empty() || running.len() == queue.limit());
         }
     }
 
-    /// A full queue sheds the least worth: what waits is never worth less than
-    /// what was shed at the same moment.
+    /// A full queue refuses the call of lowest priority: no call left waiting ranks below one
+    /// refused at the same time.
     #[test]
-    fn the_least_worth_is_shed_first(worths in proptest::collection::vec((any::<bool>(), 1_u8..20), 5..60)) {
+    fn calls_of_the_lowest_priority_are_refused_first(priorities in proptest::collection::vec((any::<bool>(), 1_u8..20), 5..60)) {
         let mut queue = AdmissionQueue::open(1);
         let far = MicroTime(u64::MAX / 2);
         let mut waiting: HashMap<CallId, CallPriority> = HashMap::new();
-        for (number, (urgent, worth)) in worths.into_iter().enumerate() {
+        for (number, (urgent, worth)) in priorities.into_iter().enumerate() {
             let priority = CallPriority { urgent, worth };
             let call = waiting_call(number as u128, 0, priority, far);
             waiting.insert(call.call, priority);
@@ -124,36 +125,36 @@
                 match action {
                     AdmissionAction::Start(call) => { waiting.remove(&call); }
                     AdmissionAction::Refuse { call, reason, retry_after_ms } => {
-                        let shed = waiting.remove(&call);
+                        let refused = waiting.remove(&call);
                         prop_assert!(matches!(reason, RefusalReason::Full | RefusalReason::Outranked));
                         prop_assert!(retry_after_ms > 0);
-                        prop_assert!(waiting.values().all(|&left| Some(left) >= shed));
+                        prop_assert!(waiting.values().all(|&left| Some(left) >= refused));
                     }
                 }
             }
         }
     }
 
-    /// One account's burst does not keep another from its share.
+    /// While one account has many calls waiting, another one gets its share of the slots.
     #[test]
-    fn a_burst_leaves_another_account_its_share(burst in 20_usize..60, slots in 2_u16..8) {
+    fn a_burst_of_one_account_leaves_another_its_share(burst in 20_usize..60, slots in 2_u16..8) {
         let mut queue = AdmissionQueue::open(slots);
         let far = MicroTime(u64::MAX / 2);
         let priority = CallPriority { urgent: false, worth: 1 };
         let mut running: Vec<CallId> = Vec::new();
         let mut quiet_started = 0;
         let mut next = 0_u128;
-        let mut offer = |queue: &mut AdmissionQueue, account, running: &mut Vec<CallId>, quiet: &mut usize| {
+        let mut offer = |queue: &mut AdmissionQueue, account, running: &mut Vec<CallId>, quiet_started: &mut usize| {
             let call = waiting_call(next * 2 + u128::from(account), account, priority, far);
             next += 1;
             let mut out = Vec::new();
             queue.step(MicroTime(0), AdmissionEvent::Arrive(call), &mut out);
-            collect(&out, running, quiet);
+            record_started(&out, running, quiet_started);
         };
         for _ in 0..burst {
             offer(&mut queue, 0, &mut running, &mut quiet_started);
         }
-        // The quiet account always has one call waiting, the other one many.
+        // The quiet account always has one call waiting, the busy one many.
         for _ in 0..40 {
             offer(&mut queue, 1, &mut running, &mut quiet_started);
             offer(&mut queue, 0, &mut running, &mut quiet_started);
@@ -161,23 +162,23 @@
             let mut out = Vec::new();
             let took = Some(MicroTime(1_000));
             queue.step(MicroTime(0), AdmissionEvent::Finish { call, took, failed: false }, &mut out);
-            collect(&out, &mut running, &mut quiet_started);
+            record_started(&out, &mut running, &mut quiet_started);
         }
-        prop_assert!(quiet_started >= 12, "only {quiet_started} of 40");
+        prop_assert!(quiet_started >= 12, "the quiet account started only {quiet_started} of 40 calls");
     }
 }
 
-/// Notes what was started; odd calls are the quiet account's.
-fn collect(out: &[AdmissionAction], running: &mut Vec<CallId>, quiet: &mut usize) {
+/// Records the started calls; odd ids belong to the quiet account.
+fn record_started(out: &[AdmissionAction], running: &mut Vec<CallId>, quiet_started: &mut usize) {
     for action in out {
         if let AdmissionAction::Start(call) = action {
             running.push(*call);
-            *quiet += usize::from(call.0 % 2 == 1);
+            *quiet_started += usize::from(call.0 % 2 == 1);
         }
     }
 }
 
-/// What a slot's wait is foreseen from: the calls that run, and those ahead.
+/// The estimated wait for a slot follows from the running calls and those ahead in the queue.
 #[test]
 fn a_call_that_cannot_start_in_time_is_refused_at_once() {
     let mut queue = AdmissionQueue::open(1);
@@ -191,20 +192,20 @@
         out
     };
     assert_eq!(offer(&mut queue, 1, 0, 100), [AdmissionAction::Start(CallId(1))]);
-    // The slot comes free at 50 ms; this one would have to start by 40.
+    // The slot becomes free at 50 ms, but this call would have to start by 40 ms.
     let refused = offer(&mut queue, 2, 10, 40);
     assert!(matches!(
         refused[..],
         [AdmissionAction::Refuse { reason: RefusalReason::TooLate, .. }]
     ));
-    // By 60 it can, and the next one behind it can't.
+    // A call that may start until 60 ms waits; the one behind it can't start by 90 ms.
     assert!(offer(&mut queue, 3, 10, 60).is_empty());
     let refused = offer(&mut queue, 4, 10, 90);
     assert!(matches!(
         refused[..],
         [AdmissionAction::Refuse { reason: RefusalReason::TooLate, .. }]
     ));
-    // On a host that is four times slower than usual a call takes 200 ms.
+    // On a host that is four times slower than normal a call takes 200 ms.
     queue.note_slowness(MicroTime::from_millis(10), 400);
     let refused = offer(&mut queue, 5, 10, 200);
     assert!(matches!(
@@ -213,9 +214,9 @@
     ));
 }
 
-/// A caller may leave at the very moment its call gets a slot.
+/// A caller may disconnect at the moment its call gets a slot.
 #[test]
-fn a_call_that_is_cancelled_as_it_starts_gives_its_slot_back() {
+fn a_call_cancelled_as_it_starts_frees_its_slot() {
     let mut queue = AdmissionQueue::open(1);
     let mut out = Vec::new();
     let deadline = MicroTime::from_millis(100);
@@ -229,20 +230,21 @@
     assert_eq!(out, [AdmissionAction::Start(CallId(2))]);
 }
 
-/// A host that is slow for a quarter of the time, and so is the time of a call
-/// that begins then.
+/// Creates the queue of a target whose host is five times slower for a quarter of the time, in
+/// periods of 150 ms; its latest report is of a slow period.
 fn slow_queue(slots: u16) -> AdmissionQueue {
     let mut queue = AdmissionQueue::open(slots);
-    for spell in 0..=40_u64 {
-        let percent = if spell % 4 == 0 { 500 } else { 100 };
-        queue.note_slowness(MicroTime::from_millis(spell * 150), percent);
+    for period in 0..=40_u64 {
+        let percent = if period % 4 == 0 { 500 } else { 100 };
+        queue.note_slowness(MicroTime::from_millis(period * 150), percent);
     }
     queue
 }
 
-/// When [`slow_queue`] has heard its last word, which is slow.
-const SLOW_SINCE_MS: u64 = 40 * 150;
+/// Start of the last slow period of [`slow_queue`], in milliseconds.
+const SLOW_PERIOD_START_MS: u64 = 40 * 150;
 
+/// Offers a call with 200 ms of work and returns the resulting actions.
 fn offer_work(
     queue: &mut AdmissionQueue,
     id: u128,
@@ -250,7 +252,7 @@
     queue_deadline_ms: u64,
     last_target: bool,
 ) -> Vec<AdmissionAction> {
-    let deadline = MicroTime::from_millis(SLOW_SINCE_MS + 2_000);
+    let deadline = MicroTime::from_millis(SLOW_PERIOD_START_MS + 2_000);
     let mut call = waiting_call(id, 0, CallPriority::default(), deadline);
     call.queue_deadline = MicroTime::from_millis(queue_deadline_ms);
     call.work_us = 200_000;
@@ -261,36 +263,40 @@
 }
 
 #[test]
-fn a_call_is_sent_on_while_the_host_is_slow() {
+fn a_call_with_another_target_is_refused_while_the_host_is_slow() {
     let mut queue = slow_queue(8);
-    let sent_on = offer_work(&mut queue, 1, SLOW_SINCE_MS, SLOW_SINCE_MS + 300, false);
-    assert!(matches!(sent_on[..], [AdmissionAction::Refuse { reason: RefusalReason::Slow, .. }]));
+    let actions =
+        offer_work(&mut queue, 1, SLOW_PERIOD_START_MS, SLOW_PERIOD_START_MS + 300, false);
+    assert!(matches!(actions[..], [AdmissionAction::Refuse { reason: RefusalReason::Slow, .. }]));
 }
 
-/// Who comes back before the spell is over is sent on again.
+/// A caller that retries during the same slow period would be refused again.
 #[test]
-fn a_call_that_is_sent_on_is_told_when_the_slow_spell_ends() {
+fn a_refusal_on_a_slow_host_states_when_the_slow_period_ends() {
     let mut queue = slow_queue(8);
-    let told = |queue: &mut AdmissionQueue, after_ms: u64| {
-        let now_ms = SLOW_SINCE_MS + after_ms;
-        let sent_on = offer_work(queue, u128::from(after_ms), now_ms, now_ms + 300, false);
-        let [AdmissionAction::Refuse { retry_after_ms, .. }] = sent_on[..] else {
-            panic!("{sent_on:?}")
+    let retry_after = |queue: &mut AdmissionQueue, after_ms: u64| {
+        let now_ms = SLOW_PERIOD_START_MS + after_ms;
+        let actions = offer_work(queue, u128::from(after_ms), now_ms, now_ms + 300, false);
+        let [AdmissionAction::Refuse { retry_after_ms, .. }] = actions[..] else {
+            panic!("{actions:?}")
         };
         retry_after_ms
     };
-    // Spells last some 150 ms here, and no call runs.
-    let at_first = told(&mut queue, 0);
-    assert!((100..=200).contains(&at_first), "{at_first}");
-    let later = told(&mut queue, 60);
-    assert!(later + 55 <= at_first && later >= 5, "{later} of {at_first}");
+    // Slow periods last about 150 ms here, and no call runs.
+    let first_ms = retry_after(&mut queue, 0);
+    assert!((100..=200).contains(&first_ms), "{first_ms}");
+    let later_ms = retry_after(&mut queue, 60);
+    assert!(later_ms + 55 <= first_ms && later_ms >= 5, "{later_ms} of {first_ms}");
 }
 
 #[test]
-fn a_call_with_no_other_target_waits_until_the_host_is_fast_again() {
+fn a_call_without_another_target_waits_for_the_end_of_the_slow_period() {
     let mut queue = slow_queue(8);
-    assert!(offer_work(&mut queue, 1, SLOW_SINCE_MS, SLOW_SINCE_MS + 300, true).is_empty());
-    let now = MicroTime::from_millis(SLOW_SINCE_MS + 120);
+    assert!(
+        offer_work(&mut queue, 1, SLOW_PERIOD_START_MS, SLOW_PERIOD_START_MS + 300, true)
+            .is_empty()
+    );
+    let now = MicroTime::from_millis(SLOW_PERIOD_START_MS + 120);
     queue.note_slowness(now, 100);
     let mut out = Vec::new();
     queue.step(now, AdmissionEvent::Tick, &mut out);
@@ -298,28 +304,28 @@
 }
 
 #[test]
-fn a_call_that_waited_in_vain_starts_where_there_is_room_to_spare() {
+fn a_call_at_its_queue_deadline_starts_if_slots_are_spare() {
     let mut queue = slow_queue(8);
-    let queue_deadline_ms = SLOW_SINCE_MS + 100;
-    assert!(offer_work(&mut queue, 1, SLOW_SINCE_MS, queue_deadline_ms, true).is_empty());
+    let queue_deadline_ms = SLOW_PERIOD_START_MS + 100;
+    assert!(offer_work(&mut queue, 1, SLOW_PERIOD_START_MS, queue_deadline_ms, true).is_empty());
     let mut out = Vec::new();
     queue.step(MicroTime::from_millis(queue_deadline_ms), AdmissionEvent::Tick, &mut out);
     assert_eq!(out, [AdmissionAction::Start(CallId(1))]);
 }
 
-/// Plays calls at a host whose speed shifts, all of them with this target alone
-/// to go to, and counts those answered in time.
-#[test_case(20, 0.92; "load that the slots bear")]
-#[test_case(10, 0.50; "a burst over what they bear")]
-fn most_calls_are_in_time_on_a_host_whose_speed_shifts(every_ms: u64, part: f64) {
+/// Simulates calls to a target on a host of varying speed, none of which has another target,
+/// and counts those answered in time.
+#[test_case(20, 0.92; "load within the capacity of the slots")]
+#[test_case(10, 0.50; "burst above the capacity of the slots")]
+fn most_calls_are_in_time_on_a_host_of_varying_speed(interval_ms: u64, min_fraction: f64) {
     const OBJECTIVE_MS: u64 = 600;
     let mut queue = AdmissionQueue::open(18);
     let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
     let mut arrived: HashMap<CallId, u64> = HashMap::new();
     let (mut calls, mut in_time) = (0_u32, 0_u32);
     let mut percent = 100;
-    // A fixed run of spells: a quarter of them slow, never two patterns alike.
-    let is_slow = |spell: u64| (spell.wrapping_mul(2_654_435_761) >> 7).is_multiple_of(4);
+    // A fixed, irregular sequence of periods, a quarter of them slow.
+    let is_slow = |period: u64| (period.wrapping_mul(2_654_435_761) >> 7).is_multiple_of(4);
     for now_ms in 0..20_000_u64 {
         let now = MicroTime::from_millis(now_ms);
         let mut out = Vec::new();
@@ -331,12 +337,12 @@
         }
         ends.sort_unstable();
         while ends.first().is_some_and(|(end, ..)| *end <= now_ms) {
-            let (_, call, began_ms) = ends.remove(0);
-            let took = Some(MicroTime::from_millis(now_ms - began_ms));
+            let (_, call, started_ms) = ends.remove(0);
+            let took = Some(MicroTime::from_millis(now_ms - started_ms));
             queue.step(now, AdmissionEvent::Finish { call, took, failed: false }, &mut out);
             in_time += u32::from(now_ms - arrived[&call] <= OBJECTIVE_MS);
         }
-        if now_ms % every_ms == 0 {
+        if now_ms % interval_ms == 0 {
             calls += 1;
             let mut call = waiting_call(
                 u128::from(calls),
@@ -356,6 +362,6 @@
             }
         }
     }
-    let share = f64::from(in_time) / f64::from(calls);
-    assert!(share > part, "{in_time} of {calls} in time");
+    let fraction = f64::from(in_time) / f64::from(calls);
+    assert!(fraction > min_fraction, "{in_time} of {calls} calls in time");
 }
