--- a/tests/benefit.rs
+++ b/tests/benefit.rs
@@ -1,4 +1,5 @@
-//! The policy of expected benefit: near where it is as good, far where not.
+//! Expected-benefit policy: it prefers local targets unless a remote one is better by more than the
+//! cost of crossing between data centres.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -14,17 +15,20 @@
 
 const NOW: MicroTime = MicroTime::from_millis(60_000);
 
+/// A call with 50 ms of work and an objective of 150 ms.
 const ESTIMATE: CallEstimate =
     CallEstimate { work_us: 50_000.0, objective_us: 150_000.0, crossing_cost: 0.2 };
 
-fn record(name: &str, far: bool, slowness: u16, in_flight: u16) -> TargetRecord {
+/// Creates the record of a target with six slots that reported its load just now.
+fn record(name: &str, remote: bool, slowness: u16, in_flight: u16) -> TargetRecord {
     let mut record = TargetRecord::new(name.into(), None, 6, MicroTime(0));
-    record.remote = far;
-    let word = LoadReport { slots: 6, slowness, in_flight, sequence: 1, ..LoadReport::default() };
-    record.record_report(NOW, word);
+    record.remote = remote;
+    let report = LoadReport { slots: 6, slowness, in_flight, sequence: 1, ..LoadReport::default() };
+    record.record_report(NOW, report);
     record
 }
 
+/// Returns the name of the target that the policy chooses.
 fn chosen(records: Vec<TargetRecord>, estimate: &CallEstimate) -> String {
     let mut targets = ServiceTargets::new(records);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -33,43 +37,48 @@
     targets.targets[index].name.to_string()
 }
 
-#[test_case(100, 0, "near"; "both at their usual speed")]
-#[test_case(120, 2, "near"; "the near one a little slower")]
-#[test_case(400, 0, "far"; "the near one slow at this moment")]
-#[test_case(100, 12, "far"; "the near one full, with as many waiting")]
-fn near_is_left_only_for_a_gain(slowness: u16, in_flight: u16, expected: &str) {
-    let near = record("near", false, slowness, in_flight);
-    let far = record("far", true, 100, 0);
-    assert_eq!(chosen(vec![near, far], &ESTIMATE), expected);
+#[test_case(100, 0, "local"; "both hosts at their normal speed")]
+#[test_case(120, 2, "local"; "local host slightly slower")]
+#[test_case(400, 0, "remote"; "local host in a slow period")]
+#[test_case(100, 12, "remote"; "local target full, with as many calls waiting")]
+fn a_remote_target_is_chosen_only_if_it_is_clearly_better(
+    slowness: u16,
+    in_flight: u16,
+    expected: &str,
+) {
+    let local = record("local", false, slowness, in_flight);
+    let remote = record("remote", true, 100, 0);
+    assert_eq!(chosen(vec![local, remote], &ESTIMATE), expected);
 }
 
+/// The crossing cost is a fraction of the benefit of one call.
 #[test]
-fn a_crossing_that_costs_more_than_the_call_is_never_made() {
+fn no_call_crosses_at_a_cost_above_its_benefit() {
     let estimate = CallEstimate { crossing_cost: 5.0, ..ESTIMATE };
-    let near = record("near", false, 400, 6);
-    assert_eq!(chosen(vec![near, record("far", true, 100, 0)], &estimate), "near");
+    let local = record("local", false, 400, 6);
+    assert_eq!(chosen(vec![local, record("remote", true, 100, 0)], &estimate), "local");
 }
 
-#[test_case(1, "far"; "without a choice nearby")]
-#[test_case(5, "near"; "with a choice nearby")]
-fn a_crossing_counts_by_the_choice_nearby(near: usize, expected: &str) {
+/// Calls kept in a data centre with few targets would wait for each other.
+#[test_case(1, "remote"; "one local target")]
+#[test_case(5, "local"; "several local targets")]
+fn the_crossing_cost_counts_less_with_few_local_targets(local_count: usize, expected: &str) {
     let estimate = CallEstimate { crossing_cost: 0.4, ..ESTIMATE };
-    let mut records: Vec<_> = (0..near).map(|_| record("near", false, 220, 0)).collect();
-    records.push(record("far", true, 100, 0));
+    let mut records: Vec<_> = (0..local_count).map(|_| record("local", false, 220, 0)).collect();
+    records.push(record("remote", true, 100, 0));
     assert_eq!(chosen(records, &estimate), expected);
 }
 
 proptest! {
     #![proptest_config(seeded(200))]
 
-    /// Of two targets in one data centre, the one that is slower and fuller is
-    /// not chosen.
+    /// Of two targets in one data centre, the slower and busier one is not chosen.
     #[test]
-    fn the_worse_of_two_is_not_chosen(
-        slowness in 100_u16..300, more in 60_u16..300, in_flight in 0_u16..4,
+    fn a_slower_and_busier_target_is_not_chosen(
+        slowness in 100_u16..300, extra_slowness in 60_u16..300, in_flight in 0_u16..4,
     ) {
         let better = record("better", false, slowness, in_flight);
-        let worse = record("worse", false, slowness + more, in_flight + 2);
+        let worse = record("worse", false, slowness + extra_slowness, in_flight + 2);
         prop_assert_eq!(chosen(vec![worse, better], &ESTIMATE), "better");
     }
 }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,4 +1,6 @@
-//! Promise: measuring never costs more than its budget; retries never multiply.
+//! Budgets of probes and retries, and the lease of a target.
+//!
+//! Probes never exceed their budget, and the attempts of nested calls never multiply.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -15,9 +17,9 @@
 proptest! {
     #![proptest_config(seeded(300))]
 
-    /// The clock may crawl, stand still, jump ahead or go back.
+    /// The clock may run slowly, stand still, jump ahead or go back.
     #[test]
-    fn no_second_is_ever_over_the_probe_budget(
+    fn no_second_exceeds_the_probe_budget(
         messages_per_s in 0_u32..40,
         bytes_per_s in 0_u32..4_000,
         steps in proptest::collection::vec(
@@ -29,8 +31,8 @@
         let mut clock = 0_i64;
         let mut latest = 0_u64;
         let mut granted: Vec<(u64, u64, u64)> = Vec::new();
-        for (passed, messages, bytes) in steps {
-            clock = (clock + passed).max(0);
+        for (elapsed, messages, bytes) in steps {
+            clock = (clock + elapsed).max(0);
             latest = latest.max(clock as u64);
             if budget.try_take(MicroTime(clock as u64), messages, bytes) {
                 granted.push((latest, u64::from(messages), u64::from(bytes)));
@@ -45,8 +47,9 @@
         }
     }
 
+    /// Retries are limited to a tenth of the successes, plus ten at once.
     #[test]
-    fn retries_stay_a_share_of_successes(steps in proptest::collection::vec(any::<bool>(), 0..2_000)) {
+    fn retries_stay_a_fraction_of_the_successes(steps in proptest::collection::vec(any::<bool>(), 0..2_000)) {
         let mut budget = RetryBudget::open();
         let (mut successes, mut retries) = (0_u32, 0_u32);
         for success in steps {
@@ -60,31 +63,31 @@
         prop_assert!(f64::from(retries) <= 10.0 + 0.1 * f64::from(successes) + 1e-6);
     }
 
-    /// Once a try may have run, the caller is never told that it did not.
+    /// Once an attempt may have run, the caller is never told that the call did not run.
     #[test]
-    fn a_course_never_denies_a_try_that_may_have_run(
+    fn a_call_that_may_have_run_is_never_reported_as_not_run(
         repeatable: bool,
-        ends in proptest::collection::vec((0_u8..4, any::<bool>()), 1..10),
+        results in proptest::collection::vec((0_u8..4, any::<bool>()), 1..10),
     ) {
         let mut budget = RetryBudget::open();
         let mut call_attempts = CallAttempts::open(repeatable, MAX_ATTEMPTS);
         let mut lost = false;
-        for (tries, (end, in_time)) in ends.into_iter().enumerate() {
-            let end = [AttemptResult::Answered, AttemptResult::Refused, AttemptResult::Lost, AttemptResult::TakeOver][usize::from(end)];
-            lost |= end == AttemptResult::Lost;
-            let next = call_attempts.record(end, in_time, &mut budget);
-            prop_assert!(!(lost && next == RetryDecision::ReportNotRun));
-            prop_assert!(!(lost && !repeatable && next == RetryDecision::Retry));
-            if next != RetryDecision::Retry {
+        for (attempt, (result, in_time)) in results.into_iter().enumerate() {
+            let result = [AttemptResult::Answered, AttemptResult::Refused, AttemptResult::Lost, AttemptResult::TakeOver][usize::from(result)];
+            lost |= result == AttemptResult::Lost;
+            let decision = call_attempts.record(result, in_time, &mut budget);
+            prop_assert!(!(lost && decision == RetryDecision::ReportNotRun));
+            prop_assert!(!(lost && !repeatable && decision == RetryDecision::Retry));
+            if decision != RetryDecision::Retry {
                 break;
             }
-            prop_assert!(tries + 1 < MAX_ATTEMPTS as usize);
+            prop_assert!(attempt + 1 < MAX_ATTEMPTS as usize);
         }
     }
 
-    /// The attempts of a call tree add up over its levels; they never multiply.
+    /// The attempts of nested calls add up over the levels; they never multiply.
     #[test]
-    fn attempts_of_a_deep_call_stay_bounded(
+    fn attempts_of_nested_calls_never_multiply(
         depth in 1_usize..26,
         failing in proptest::collection::vec(any::<bool>(), 26),
         lost: bool,
@@ -92,37 +95,37 @@
         let mut budgets = vec![RetryBudget::open(); depth];
         let mut attempts = 0;
         call_level(0, &failing, lost, &mut budgets, &mut attempts);
-        // Only one level can be next to the failure; each other one tries once.
-        prop_assert!(attempts < depth + MAX_ATTEMPTS as usize, "{attempts} at depth {depth}");
+        // Only the level next to the failure retries; each other level makes one attempt.
+        prop_assert!(attempts < depth + MAX_ATTEMPTS as usize, "{attempts} attempts at depth {depth}");
     }
 
-    /// After the last heartbeat a target is ready for its lease and no longer.
+    /// After its last heartbeat a target is ready until its lease ends, and no longer.
     #[test]
-    fn a_lease_ends_in_time(
-        beats in proptest::collection::vec((0_u64..5_000_000, 0_u8..3), 1..50),
+    fn a_target_is_ready_until_its_lease_ends(
+        heartbeats in proptest::collection::vec((0_u64..5_000_000, 0_u8..3), 1..50),
         drained: bool,
-        probe in 0_u64..10_000_000,
+        since_heartbeat in 0_u64..10_000_000,
     ) {
         let conditions = [TargetCondition::Warming, TargetCondition::Ready, TargetCondition::Draining];
         let mut lease = TargetLease::open(MicroTime(0), TargetCondition::Warming, TARGET_LEASE);
         lease.set_drained(drained);
-        let (mut last, mut condition) = (MicroTime(0), TargetCondition::Warming);
-        for (at, index) in beats {
+        let (mut last_heartbeat, mut condition) = (MicroTime(0), TargetCondition::Warming);
+        for (at, index) in heartbeats {
             condition = conditions[usize::from(index)];
             lease.renew(MicroTime(at), condition);
-            last = last.max(MicroTime(at));
+            last_heartbeat = last_heartbeat.max(MicroTime(at));
         }
-        let now = last + MicroTime(probe);
-        let fresh = MicroTime(probe) < MicroTime::from(TARGET_LEASE);
-        let expected = fresh && !drained && condition == TargetCondition::Ready;
+        let now = last_heartbeat + MicroTime(since_heartbeat);
+        let lease_valid = MicroTime(since_heartbeat) < MicroTime::from(TARGET_LEASE);
+        let expected = lease_valid && !drained && condition == TargetCondition::Ready;
         prop_assert_eq!(lease.is_ready(now), expected);
     }
 }
 
-/// Calls one level, which calls the next; returns whether it was answered.
+/// Makes the call of one level, which calls the next one, and counts all attempts.
 ///
-/// A level that fails does so on every attempt. What lies above it gets an
-/// answer from its target, which is final however bad it is.
+/// A failing level fails on every attempt. The levels above it get an answer from their target,
+/// which is final even if it reports a failure.
 fn call_level(
     level: usize,
     failing: &[bool],
@@ -136,7 +139,7 @@
     let mut call_attempts = CallAttempts::open(true, MAX_ATTEMPTS);
     loop {
         *attempts += 1;
-        let end = match (failing[level], lost) {
+        let result = match (failing[level], lost) {
             (true, true) => AttemptResult::Lost,
             (true, false) => AttemptResult::Refused,
             (false, _) => {
@@ -144,7 +147,7 @@
                 AttemptResult::Answered
             }
         };
-        if call_attempts.record(end, true, &mut budgets[level]) != RetryDecision::Retry {
+        if call_attempts.record(result, true, &mut budgets[level]) != RetryDecision::Retry {
             return;
         }
     }
--- a/tests/call_ledger.rs
+++ b/tests/call_ledger.rs
@@ -1,4 +1,4 @@
-//! At most once, over every order of claims, crashes, losses and repeats.
+//! At-most-once execution under any order of claims, crashes, lost messages and repeated requests.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -17,17 +17,17 @@
 proptest! {
     #![proptest_config(seeded(500))]
 
-    /// Copies, revocations and dispatches in any order, and a clock that jumps.
+    /// Arrivals, dispatches and revocations come in any order, and the clock jumps ahead.
     #[test]
-    fn a_call_told_not_run_is_never_dispatched(
+    fn a_call_reported_as_not_run_is_never_dispatched(
         steps in proptest::collection::vec((0_u8..4, 0_u128..5, 0_u64..200_000_000), 1..200),
     ) {
         let mut ledger = CallLedger::default();
         let mut now = MicroTime(0);
         let mut dispatched: HashMap<u128, MicroTime> = HashMap::new();
-        let mut denied: HashMap<u128, MicroTime> = HashMap::new();
+        let mut revoked: HashMap<u128, MicroTime> = HashMap::new();
         let retention = MicroTime::from(railspan::LEDGER_RETENTION);
-        for (kind, call, passed) in steps {
+        for (kind, call, elapsed) in steps {
             let id = CallId(call);
             match kind {
                 0 => {
@@ -35,57 +35,58 @@
                 }
                 1 => {
                     if ledger.try_dispatch(id) {
-                        let earlier = dispatched.insert(call, now);
-                        let fresh = earlier.is_none_or(|at| now.since(at) >= retention);
-                        prop_assert!(fresh, "dispatched twice");
-                        let kept = denied.get(&call).is_none_or(|&at| now.since(at) >= retention);
-                        prop_assert!(kept, "dispatched after it was denied");
+                        let previous = dispatched.insert(call, now);
+                        let is_first = previous.is_none_or(|at| now.since(at) >= retention);
+                        prop_assert!(is_first, "dispatched twice");
+                        let forgotten = revoked.get(&call).is_none_or(|&at| now.since(at) >= retention);
+                        prop_assert!(forgotten, "dispatched after it was revoked");
                         ledger.finish(now, id, CallStatus::Unknown);
                     }
                 }
                 2 => {
                     if ledger.revoke(now, id) == CallStatus::NotRun {
                         let ran = dispatched.get(&call).is_some_and(|&at| now.since(at) < retention);
-                        prop_assert!(!ran, "denied although it ran");
-                        denied.entry(call).or_insert(now);
+                        prop_assert!(!ran, "reported as not run although it ran");
+                        revoked.entry(call).or_insert(now);
                     }
                 }
-                _ => now = now + MicroTime(passed),
+                _ => now = now + MicroTime(elapsed),
             }
-            denied.retain(|_, at| now.since(*at) < retention);
+            revoked.retain(|_, at| now.since(*at) < retention);
         }
     }
 
-    /// Several entries, guards and a table that loses answers work on one key.
+    /// Several entries and guards use one idempotency key, and the table's answers may be lost.
     #[test]
-    fn one_key_runs_at_most_once(seed: u64, steps in 20_usize..200) {
-        let mut world = KeyWorld::open(seed);
+    fn calls_with_one_key_run_at_most_once(seed: u64, steps in 20_usize..200) {
+        let mut simulation = KeySimulation::open(seed);
         for _ in 0..steps {
-            world.step();
-            prop_assert!(world.runs.len() <= 1, "ran {} times: {:?}", world.runs.len(), world.history);
-            for call in &world.told_not_run {
-                prop_assert!(!world.runs.contains(call), "denied {call:?}: {:?}", world.history);
+            simulation.step();
+            prop_assert!(simulation.runs.len() <= 1, "ran {} times: {:?}", simulation.runs.len(), simulation.history);
+            for call in &simulation.reported_not_run {
+                prop_assert!(!simulation.runs.contains(call), "{call:?} ran but was reported as not run: {:?}", simulation.history);
             }
         }
     }
 
-    /// Without crashes a key that was tried for long enough has run.
+    /// Without crashes a request that is repeated for long enough runs.
     #[test]
-    fn one_key_is_not_lost_without_crashes(seed: u64) {
-        let mut world = KeyWorld::open(seed);
-        world.crashes = false;
+    fn one_call_with_a_key_runs_if_no_guard_crashes(seed: u64) {
+        let mut simulation = KeySimulation::open(seed);
+        simulation.crashes = false;
         for _ in 0..3_000 {
-            world.step();
+            simulation.step();
         }
-        prop_assert_eq!(world.runs.len(), 1, "{:?}", world.history);
+        prop_assert_eq!(simulation.runs.len(), 1, "{:?}", simulation.history);
     }
 }
 
-/// The memory bears the rate of the size to design for, and its refusals.
+/// The ledger has room for the call rate of a target at the size designed for, and for refused
+/// calls.
 #[test]
-fn a_ledger_is_never_full_at_the_rate_of_a_busy_target() {
+fn the_ledger_is_never_full_at_the_call_rate_of_a_busy_target() {
     let mut ledger = CallLedger::default();
-    // 336 calls a second for ten minutes, and twice as many that are denied.
+    // 336 calls per second for ten minutes, and twice as many that are revoked.
     for number in 0..336_u64 * 600 {
         let now = MicroTime(number * 1_000_000 / 336);
         let call = u128::from(number) * 3;
@@ -93,48 +94,52 @@
         assert!(ledger.try_dispatch(CallId(call)));
         let deadline = now + MicroTime::from_millis(2_000);
         ledger.finish_repeatable(now, CallId(call), CallStatus::Unknown, deadline);
-        for denied in 1..3 {
-            assert!(ledger.register(now, CallId(call + denied)));
-            assert_eq!(ledger.revoke(now, CallId(call + denied)), CallStatus::NotRun);
+        for revoked in 1..3 {
+            assert!(ledger.register(now, CallId(call + revoked)));
+            assert_eq!(ledger.revoke(now, CallId(call + revoked)), CallStatus::NotRun);
         }
     }
 }
 
-/// One guard's life as far as the key is concerned.
+/// One guard's state with regard to the key, in one incarnation.
 struct FakeGuard {
     incarnation: DaemonIncarnation,
     ledger: CallLedger,
-    /// Calls that hold the claim at this version and may be dispatched.
+    /// Calls that hold the claim, with its version, and may be dispatched.
     held: Vec<(CallId, u64)>,
+    /// Calls dispatched to the target, with the version of their claim.
     running: Vec<(CallId, u64)>,
 }
 
-/// A claim on its way to the table.
+/// A claim in transit to the table.
 #[derive(Clone, Copy, Debug)]
-struct FlyingClaim {
+struct ClaimInTransit {
     call: CallId,
     guard: usize,
     incarnation: DaemonIncarnation,
-    expect: u64,
+    expected_version: u64,
     /// Whether the guard gave up waiting for the answer.
     abandoned: bool,
 }
 
-/// One idempotency key, the row in the table, guards, and calls under way.
-struct KeyWorld {
+/// One idempotency key with its row in the table, the guards, and the claims in transit.
+struct KeySimulation {
     rng: Pcg64Mcg,
+    /// Version and content of the row, if there is one.
     row: Option<(u64, ClaimRow)>,
     version: u64,
     guards: Vec<FakeGuard>,
-    flying: Vec<FlyingClaim>,
+    in_transit: Vec<ClaimInTransit>,
     next_call: u128,
+    /// Calls that ran at a target.
     runs: Vec<CallId>,
-    told_not_run: Vec<CallId>,
+    /// Calls that were reported as not run.
+    reported_not_run: Vec<CallId>,
     crashes: bool,
     history: Vec<String>,
 }
 
-impl KeyWorld {
+impl KeySimulation {
     fn open(seed: u64) -> Self {
         let guards = (0..3).map(|index| FakeGuard {
             incarnation: DaemonIncarnation(index),
@@ -147,10 +152,10 @@
             row: None,
             version: 0,
             guards: guards.collect(),
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             next_call: 0,
             runs: Vec::new(),
-            told_not_run: Vec::new(),
+            reported_not_run: Vec::new(),
             crashes: true,
             history: Vec::new(),
         }
@@ -160,70 +165,80 @@
         match self.rng.random_range(0..12) {
             0 | 1 => self.arrive(0),
             2 | 3 => self.apply_claim(),
-            4 => self.abandon(),
+            4 => self.abandon_claim(),
             5 | 6 => self.dispatch(),
             7 | 8 => self.finish(),
-            9 => self.repeat(),
-            10 => self.revoke(),
+            9 => self.repeat_request(),
+            10 => self.give_up_call(),
             _ if self.crashes && self.rng.random_bool(0.2) => self.crash(),
             _ => {}
         }
     }
 
-    /// A call reaches a guard, which asks the table for the claim.
-    fn arrive(&mut self, expect: u64) {
+    /// A call reaches a guard, which sends a claim to the table.
+    fn arrive(&mut self, expected_version: u64) {
         let guard = self.rng.random_range(0..self.guards.len());
         self.next_call += 1;
         let call = CallId(self.next_call);
         let incarnation = self.guards[guard].incarnation;
         if self.guards[guard].ledger.register(MicroTime(0), call) {
-            self.history.push(format!("{call:?} at guard {guard} expects {expect}"));
-            self.flying.push(FlyingClaim { call, guard, incarnation, expect, abandoned: false });
+            self.history
+                .push(format!("{call:?} at guard {guard} expects version {expected_version}"));
+            self.in_transit.push(ClaimInTransit {
+                call,
+                guard,
+                incarnation,
+                expected_version,
+                abandoned: false,
+            });
         }
     }
 
-    /// The table takes a claim; its answer may be lost, then it is read back.
+    /// The table processes a claim; the guard gets no answer if it gave up or crashed.
     fn apply_claim(&mut self) {
-        if self.flying.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..self.flying.len());
-        let claim = self.flying.swap_remove(index);
-        let present = self.row.as_ref().map_or(0, |(version, _)| *version);
+        let index = self.rng.random_range(0..self.in_transit.len());
+        let claim = self.in_transit.swap_remove(index);
+        let present_version = self.row.as_ref().map_or(0, |(version, _)| *version);
         let alive = self.guards[claim.guard].incarnation == claim.incarnation;
-        if present == claim.expect {
+        if present_version == claim.expected_version {
             self.version += 1;
             self.row = Some((self.version, claim_row(&claim)));
-            self.history.push(format!("{:?} claims {}", claim.call, self.version));
+            self.history
+                .push(format!("{:?} claims the key at version {}", claim.call, self.version));
             if alive && !claim.abandoned {
                 self.guards[claim.guard].held.push((claim.call, self.version));
             }
         } else if alive && !claim.abandoned {
-            self.deny(claim.guard, claim.call);
+            self.revoke_at(claim.guard, claim.call);
         }
     }
 
-    /// A guard stops waiting for the table; the write may still come.
-    fn abandon(&mut self) {
-        if self.flying.is_empty() {
+    /// A guard stops waiting for the table; the claim may still be written.
+    fn abandon_claim(&mut self) {
+        if self.in_transit.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..self.flying.len());
-        let claim = self.flying[index];
+        let index = self.rng.random_range(0..self.in_transit.len());
+        let claim = self.in_transit[index];
         if claim.abandoned || self.guards[claim.guard].incarnation != claim.incarnation {
             return;
         }
-        self.flying[index].abandoned = true;
-        self.deny(claim.guard, claim.call);
+        self.in_transit[index].abandoned = true;
+        self.revoke_at(claim.guard, claim.call);
     }
 
-    fn deny(&mut self, guard: usize, call: CallId) {
+    /// Revokes a call at a guard and records whether it was reported as not run.
+    fn revoke_at(&mut self, guard: usize, call: CallId) {
         if self.guards[guard].ledger.revoke(MicroTime(0), call) == CallStatus::NotRun {
-            self.history.push(format!("{call:?} denied"));
-            self.told_not_run.push(call);
+            self.history.push(format!("{call:?} revoked"));
+            self.reported_not_run.push(call);
         }
     }
 
+    /// A guard dispatches a call whose claim it holds.
     fn dispatch(&mut self) {
         let guard = self.rng.random_range(0..self.guards.len());
         let Some((call, version)) = self.guards[guard].held.pop() else { return };
@@ -238,27 +253,28 @@
 
     /// Deletes the row if it is still at this version.
     fn release(&mut self, version: u64) {
-        if self.row.as_ref().is_some_and(|(present, _)| *present == version) {
+        if self.row.as_ref().is_some_and(|(present_version, _)| *present_version == version) {
             self.row = None;
         }
     }
 
+    /// A call is answered, and the answer is stored in the row.
     fn finish(&mut self) {
         let guard = self.rng.random_range(0..self.guards.len());
         let Some((call, version)) = self.guards[guard].running.pop() else { return };
         let answer = RecordedAnswer { status: 200, content_type: None, body: None };
         self.guards[guard].ledger.finish(MicroTime(0), call, CallStatus::Answered(answer.clone()));
-        if let Some((present, row)) = &mut self.row
-            && *present == version
+        if let Some((present_version, row)) = &mut self.row
+            && *present_version == version
         {
             self.version += 1;
-            *present = self.version;
+            *present_version = self.version;
             row.state = ClaimState::Answered(answer);
         }
     }
 
-    /// A repeat finds the row and settles it with the guard that holds it.
-    fn repeat(&mut self) {
+    /// A repeated request finds the row and asks the guard that holds the claim to revoke it.
+    fn repeat_request(&mut self) {
         let Some((version, row)) = self.row.clone() else { return };
         if row.verdict("print") != ClaimVerdict::AskGuard {
             return;
@@ -267,24 +283,25 @@
         let status =
             holder.map_or(CallStatus::Unknown, |guard| guard.ledger.revoke(MicroTime(0), row.call));
         if status == CallStatus::NotRun {
-            self.told_not_run.push(row.call);
+            self.reported_not_run.push(row.call);
             self.arrive(version);
         }
     }
 
-    /// An entry gives a call up and asks its guard to make sure.
-    fn revoke(&mut self) {
+    /// An entry gives up on a call and asks its guard to revoke it.
+    fn give_up_call(&mut self) {
         if self.next_call == 0 {
             return;
         }
         let call = CallId(self.rng.random_range(1..=self.next_call));
         for guard in 0..self.guards.len() {
             if self.guards[guard].held.iter().any(|(held, _)| *held == call) {
-                self.deny(guard, call);
+                self.revoke_at(guard, call);
             }
         }
     }
 
+    /// A guard restarts in a new incarnation, without its ledger.
     fn crash(&mut self) {
         let guard = self.rng.random_range(0..self.guards.len());
         self.history.push(format!("guard {guard} crashes"));
@@ -297,7 +314,7 @@
     }
 }
 
-fn claim_row(claim: &FlyingClaim) -> ClaimRow {
+fn claim_row(claim: &ClaimInTransit) -> ClaimRow {
     ClaimRow {
         call: claim.call,
         host: format!("host-{}", claim.guard).as_str().into(),
@@ -308,16 +325,16 @@
     }
 }
 
-/// An entry that did not get the answer asks at the deadline: the call ran.
+/// An entry that did not get the answer queries the status at the deadline, after the call ran.
 #[test]
-fn a_call_that_may_repeat_is_not_said_not_to_have_run_after_it_ran() {
+fn a_repeatable_call_that_ran_is_not_reported_as_not_run() {
     let mut ledger = CallLedger::default();
     let deadline = MicroTime::from_millis(1_500);
     assert!(ledger.register(MicroTime(0), CallId(1)));
     assert!(ledger.try_dispatch(CallId(1)));
     ledger.finish_repeatable(MicroTime::from_millis(10), CallId(1), CallStatus::Unknown, deadline);
     assert_ne!(ledger.revoke(MicroTime::from_millis(1_460), CallId(1)), CallStatus::NotRun);
-    // Long after the deadline nobody asks, and nothing is kept.
+    // Long after the deadline no entry queries the status, and the call is forgotten.
     assert_eq!(ledger.revoke(MicroTime::from_millis(60_000), CallId(2)), CallStatus::NotRun);
     assert_eq!(ledger.len(), 1);
 }
