--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,5 +1,7 @@
-//! Calls at a target that is cold: never more in a second than it bears, whatever is
-//! heard of it and in whichever order; and what callers get meanwhile.
+//! Limit on the calls that start at a cold target.
+//!
+//! A cold target that gets more calls per second than it sustains crashes, restarts and is cold
+//! again. The limit must hold for any order of heartbeats, health checks and restarts.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -14,63 +16,65 @@
 use seeded::seeded;
 use test_case::test_case;
 
-/// Calls in a second that the cold targets here bear, and the same as a bound.
-const BEARS: usize = 32;
+/// Calls per second that the simulated cold target sustains.
+const MAX_RATE: usize = 32;
 
-/// Most calls that a limit with that bound lets begin within [`COLD_RATE_WINDOW`].
-const MOST: usize = 30;
+/// Maximum number of calls that a limit of [`MAX_RATE`] lets start within [`COLD_RATE_WINDOW`].
+const MAX_STARTS: usize = 30;
 
 const SECOND: MicroTime = MicroTime::from_millis(1_000);
 
+/// One step of a random sequence; `left_ms` is the reported remaining cold time.
 #[derive(Clone, Debug)]
 enum Step {
-    Answer { left_ms: u64 },
+    HealthAnswer { left_ms: u64 },
     Heartbeat { left_ms: u64 },
-    Doubt,
-    Try,
-    Pass { us: u64 },
+    AssumeCold,
+    StartCall,
+    AdvanceTime { us: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        1 => prop_oneof![Just(0_u64), 0_u64..4_000].prop_map(|left_ms| Step::Answer { left_ms }),
+        1 => prop_oneof![Just(0_u64), 0_u64..4_000].prop_map(|left_ms| Step::HealthAnswer { left_ms }),
         1 => prop_oneof![Just(0_u64), 0_u64..4_000].prop_map(|left_ms| Step::Heartbeat { left_ms }),
-        1 => Just(Step::Doubt),
-        60 => Just(Step::Try),
-        30 => (0_u64..60_000).prop_map(|us| Step::Pass { us }),
+        1 => Just(Step::AssumeCold),
+        60 => Just(Step::StartCall),
+        30 => (0_u64..60_000).prop_map(|us| Step::AdvanceTime { us }),
     ]
 }
 
-fn cold_limit(bound: u32) -> ColdStartLimit {
+fn cold_limit(max_rate: u32) -> ColdStartLimit {
     let mut limit = ColdStartLimit::default();
-    limit.set_max_rate(Some(bound));
+    limit.set_max_rate(Some(max_rate));
     limit
 }
 
 proptest! {
     #![proptest_config(seeded(200))]
 
-    /// Whenever a call begins at a target that counts as cold, it is one of few.
+    /// Within any window, no more calls start at a target that counts as cold than its limit
+    /// permits.
     #[test]
-    fn a_cold_target_is_given_no_more_than_it_bears(bound in 1_u32..80, steps in proptest::collection::vec(step(), 1..600)) {
-        let mut limit = cold_limit(bound);
-        let most = bound.saturating_sub(2).max(1) as usize;
+    fn a_cold_target_gets_no_more_calls_than_it_sustains(max_rate in 1_u32..80, steps in proptest::collection::vec(step(), 1..600)) {
+        let mut limit = cold_limit(max_rate);
+        let max_starts = max_rate.saturating_sub(2).max(1) as usize;
         let mut now = MicroTime(0);
-        let mut begun: Vec<MicroTime> = Vec::new();
+        let mut starts: Vec<MicroTime> = Vec::new();
         for step in steps {
             match step {
-                Step::Answer { left_ms } => limit.note_health_answer(now, MicroTime::from_millis(left_ms)),
+                Step::HealthAnswer { left_ms } => limit.note_health_answer(now, MicroTime::from_millis(left_ms)),
                 Step::Heartbeat { left_ms } => limit.note_heartbeat(now, MicroTime::from_millis(left_ms)),
-                Step::Doubt => limit.assume_cold(now),
-                Step::Pass { us } => now = now + MicroTime(us),
-                Step::Try if limit.may_start(now) => {
+                Step::AssumeCold => limit.assume_cold(now),
+                Step::AdvanceTime { us } => now = now + MicroTime(us),
+                Step::StartCall if limit.may_start(now) => {
                     limit.record_start(now);
-                    begun.push(now);
-                    let counted = begun.iter().filter(|begun| now.since(**begun) < COLD_RATE_WINDOW).count();
-                    prop_assert!(counted <= most || !limit.is_cold(now), "{counted} of {most}");
+                    starts.push(now);
+                    let counted = starts.iter().filter(|start| now.since(**start) < COLD_RATE_WINDOW).count();
+                    prop_assert!(counted <= max_starts || !limit.is_cold(now), "{counted} of {max_starts} starts");
                 }
-                Step::Try => {
-                    // There is room once the limit says so, and not before.
+                Step::StartCall => {
+                    // The announced wait is exact: a call may start then, and not before.
                     let wait = limit.wait_behind(now, 0);
                     prop_assert!(!limit.may_start(now + wait - MicroTime(1)));
                     prop_assert!(limit.may_start(now + wait));
@@ -79,29 +83,29 @@
         }
     }
 
-    /// What is foreseen for the calls in a queue is when they can begin.
+    /// The wait estimated for the last call of a queue is the time until it can start.
     #[test]
-    fn a_queue_before_a_cold_target_moves_as_foreseen(begun_ms in proptest::collection::vec(0_u64..1_000, 0..30), ahead in 0_usize..100) {
-        let mut limit = cold_limit(BEARS as u32);
+    fn the_estimated_wait_for_a_cold_target_is_exact(starts_ms in proptest::collection::vec(0_u64..1_000, 0..30), ahead in 0_usize..100) {
+        let mut limit = cold_limit(MAX_RATE as u32);
         limit.note_health_answer(MicroTime(0), MicroTime::from_millis(30_000));
-        let mut begun = begun_ms;
-        begun.sort_unstable();
-        for ms in &begun {
+        let mut starts = starts_ms;
+        starts.sort_unstable();
+        for ms in &starts {
             limit.record_start(MicroTime::from_millis(*ms));
         }
         let mut now = MicroTime::from_millis(1_000);
-        let foreseen = now + limit.wait_behind(now, ahead);
+        let expected = now + limit.wait_behind(now, ahead);
         for _ in 0..ahead {
             now = now + limit.wait_behind(now, 0);
             limit.record_start(now);
         }
         now = now + limit.wait_behind(now, 0);
-        prop_assert_eq!(foreseen, now);
+        prop_assert_eq!(expected, now);
     }
 }
 
 #[test]
-fn a_late_heartbeat_makes_no_target_warm() {
+fn a_late_heartbeat_does_not_end_a_cold_period() {
     let mut limit = cold_limit(32);
     limit.note_health_answer(SECOND, MicroTime::from_millis(3_000));
     limit.note_heartbeat(SECOND, MicroTime(0));
@@ -111,63 +115,68 @@
 }
 
 #[test]
-fn a_target_that_could_not_be_reached_counts_as_cold_until_it_answers() {
+fn a_target_assumed_cold_is_cold_until_it_answers_a_health_check() {
     let mut limit = cold_limit(32);
     limit.assume_cold(SECOND);
     assert!(limit.is_cold(SECOND) && limit.is_assumed_cold());
     limit.note_heartbeat(SECOND, MicroTime(0));
-    assert!(limit.is_cold(SECOND), "the heartbeat may be of before");
+    assert!(limit.is_cold(SECOND), "the heartbeat may have been sent before the restart");
     limit.note_health_answer(SECOND, MicroTime(0));
     assert!(!limit.is_cold(SECOND));
     limit.assume_cold(SECOND);
     let later = SECOND + MicroTime::from_millis(5_000);
-    assert!(!limit.is_cold(later), "a target without a path for health is not doubted for ever");
+    assert!(!limit.is_cold(later), "a target without a health check is not assumed cold for ever");
 }
 
 #[test]
-fn what_an_earlier_guard_began_counts() {
+fn calls_that_an_earlier_guard_may_have_started_count() {
     let mut limit = cold_limit(32);
     limit.block_for_predecessor(MicroTime(0));
     limit.note_health_answer(MicroTime(0), MicroTime::from_millis(2_000));
     assert!(!limit.may_start(MicroTime::from_millis(1_099)));
     assert!(limit.may_start(COLD_RATE_WINDOW));
-    // What is cold for longer than a start lasts may have been so for any time.
-    let lasts = MicroTime::from_millis(1_500);
-    let first_told = |now_ms: u64, left_ms: u64| {
+    // A target that reports more cold time left than a cold start lasts may have been cold for
+    // any time.
+    let cold_duration = MicroTime::from_millis(1_500);
+    let limit_after_report = |now_ms: u64, left_ms: u64| {
         let mut limit = cold_limit(32);
         limit.block_for_predecessor(MicroTime(0));
         let (now, left) = (MicroTime::from_millis(now_ms), MicroTime::from_millis(left_ms));
-        limit.note_cold_start(now, left, lasts);
+        limit.note_cold_start(now, left, cold_duration);
         limit.note_health_answer(now, left);
         limit
     };
-    assert!(!first_told(0, 2_000).may_start(MicroTime(0)));
-    // It was cold for 0.4 s when this guard had run for 0.1 s.
-    assert!(!first_told(100, 1_100).may_start(MicroTime::from_millis(100)));
-    assert!(first_told(300, 1_100).may_start(MicroTime::from_millis(300)));
-    // The same cold time, told before this guard knew how long a start lasts.
+    assert!(!limit_after_report(0, 2_000).may_start(MicroTime(0)));
+    // The target had been cold for 0.4 s when this guard had run for 0.1 s.
+    assert!(!limit_after_report(100, 1_100).may_start(MicroTime::from_millis(100)));
+    assert!(limit_after_report(300, 1_100).may_start(MicroTime::from_millis(300)));
+    // The same cold period, first reported before this guard knew how long a cold start lasts.
     let mut limit = cold_limit(32);
     limit.block_for_predecessor(MicroTime(0));
     limit.note_heartbeat(MicroTime::from_millis(100), MicroTime::from_millis(1_400));
-    limit.note_cold_start(MicroTime::from_millis(300), MicroTime::from_millis(1_200), lasts);
+    limit.note_cold_start(
+        MicroTime::from_millis(300),
+        MicroTime::from_millis(1_200),
+        cold_duration,
+    );
     assert!(limit.may_start(MicroTime::from_millis(300)));
-    // It was cold before this guard's start, and turns so anew.
-    let mut limit = first_told(0, 1_000);
-    limit.note_cold_start(MicroTime::from_millis(300), lasts, lasts);
-    limit.note_health_answer(MicroTime::from_millis(300), lasts);
+    // The target was cold before this guard started, restarts, and is cold again.
+    let mut limit = limit_after_report(0, 1_000);
+    limit.note_cold_start(MicroTime::from_millis(300), cold_duration, cold_duration);
+    limit.note_health_answer(MicroTime::from_millis(300), cold_duration);
     assert!(!limit.may_start(MicroTime::from_millis(300)));
     assert!(limit.may_start(COLD_RATE_WINDOW));
 }
 
 #[test]
-fn a_target_without_a_bound_takes_what_comes() {
+fn a_target_without_a_maximum_rate_is_not_limited() {
     let mut limit = ColdStartLimit::default();
     limit.note_health_answer(MicroTime(0), SECOND);
     assert!(limit.may_start(MicroTime(0)) && limit.room(MicroTime(0)).is_none());
 }
 
 #[test]
-fn a_writer_of_nonsense_closes_no_target_for_good() {
+fn an_absurd_cold_time_does_not_limit_a_target_for_good() {
     let mut limit = cold_limit(32);
     limit.note_heartbeat(SECOND, MicroTime(u64::MAX));
     assert!(!limit.is_cold(SECOND + MicroTime::from_millis(61_000)));
@@ -176,52 +185,59 @@
 #[test_case(16.0, 1.5, 8.0, 32)]
 #[test_case(2.5, 1.0, 0.0, 2)]
 #[test_case(0.0, 1.0, 0.0, 0)]
-fn the_bound_is_of_the_rate_and_the_terms(per_s: f64, over: f64, slack: f64, bound: u32) {
-    assert_eq!(ColdTerms { over, slack }.max_rate(per_s), bound);
+fn the_maximum_rate_follows_from_the_rate_and_the_terms(
+    per_s: f64,
+    over: f64,
+    slack: f64,
+    max_rate: u32,
+) {
+    assert_eq!(ColdTerms { over, slack }.max_rate(per_s), max_rate);
 }
 
-/// A target that is cold for some seconds, takes twice its time meanwhile, and falls
-/// over above what it bears; then it starts again, cold again, after a second.
+/// A target that is cold for [`COLD_MS`] after its start. While cold, it takes twice as long for
+/// each call and crashes above [`MAX_RATE`]; it restarts after [`DOWN_MS`] and is cold again.
 struct ColdTarget {
-    /// It is down until then, and cold for some time after.
+    /// Time until which it is down, in milliseconds.
     up_at: u64,
+    /// Time until which it is cold, in milliseconds.
     cold_until: u64,
-    reached: VecDeque<u64>,
-    falls: u32,
+    /// Arrival times of the calls in the last second, in milliseconds.
+    arrivals: VecDeque<u64>,
+    crashes: u32,
 }
 
 const COLD_MS: u64 = 3_000;
 const DOWN_MS: u64 = 1_000;
 const WORK_MS: u64 = 60;
 
-/// What callers of one target got.
+/// Outcomes of the calls to one target.
 #[derive(Debug, Default)]
 struct CallerCounts {
     in_time: u32,
     refused: u32,
     lost: u32,
     /// Longest time until a refusal, in milliseconds.
-    refused_after: u64,
+    max_refusal_ms: u64,
 }
 
 impl ColdTarget {
     fn open() -> Self {
-        Self { up_at: 0, cold_until: COLD_MS, reached: VecDeque::new(), falls: 0 }
+        Self { up_at: 0, cold_until: COLD_MS, arrivals: VecDeque::new(), crashes: 0 }
     }
 
-    /// Takes a call; returns how long it takes, or nothing if it is lost.
-    fn take(&mut self, now_ms: u64) -> Option<u64> {
+    /// Receives a call; returns its duration in milliseconds, or `None` if it is lost.
+    fn receive(&mut self, now_ms: u64) -> Option<u64> {
         if now_ms < self.up_at {
             return None;
         }
         if now_ms >= self.cold_until {
             return Some(WORK_MS);
         }
-        self.reached.retain(|at| now_ms - at < 1_000);
-        self.reached.push_back(now_ms);
-        if self.reached.len() > BEARS {
-            self.falls += 1;
-            self.reached.clear();
+        self.arrivals.retain(|at| now_ms - at < 1_000);
+        self.arrivals.push_back(now_ms);
+        if self.arrivals.len() > MAX_RATE {
+            self.crashes += 1;
+            self.arrivals.clear();
             self.up_at = now_ms + DOWN_MS;
             self.cold_until = self.up_at + COLD_MS;
             return None;
@@ -230,11 +246,11 @@
     }
 }
 
-/// Plays `per_s` calls a second for six seconds at a target that is cold at first.
-fn play(per_s: u64, bound: Option<u32>) -> (ColdTarget, CallerCounts) {
+/// Simulates `per_s` calls per second for six seconds to a target that is cold at first.
+fn simulate(per_s: u64, max_rate: Option<u32>) -> (ColdTarget, CallerCounts) {
     let mut target = ColdTarget::open();
     let mut queue = AdmissionQueue::open(11);
-    queue.cold_start_mut().set_max_rate(bound);
+    queue.cold_start_mut().set_max_rate(max_rate);
     queue.cold_start_mut().note_health_answer(MicroTime(0), MicroTime::from_millis(COLD_MS));
     let mut counts = CallerCounts::default();
     let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
@@ -246,10 +262,10 @@
             let left = MicroTime::from_millis(target.cold_until.saturating_sub(now_ms));
             queue.cold_start_mut().note_health_answer(now, left);
         }
-        ends.retain(|(end, call, began)| {
+        ends.retain(|(end, call, started_ms)| {
             let over = *end <= now_ms;
             if over {
-                let took = Some(MicroTime::from_millis(now_ms - began));
+                let took = Some(MicroTime::from_millis(now_ms - started_ms));
                 let event = AdmissionEvent::Finish { call: *call, took, failed: false };
                 queue.step(now, event, &mut out);
                 counts.in_time += u32::from(now_ms - arrived[call.0 as usize] <= 200);
@@ -274,7 +290,7 @@
         for action in out {
             match action {
                 AdmissionAction::Start(call) => {
-                    if let Some(took) = target.take(now_ms) {
+                    if let Some(took) = target.receive(now_ms) {
                         ends.push((now_ms + took, call, now_ms));
                     } else {
                         counts.lost += 1;
@@ -285,7 +301,7 @@
                 AdmissionAction::Refuse { call, .. } => {
                     counts.refused += 1;
                     let waited = now_ms - arrived[call.0 as usize];
-                    counts.refused_after = counts.refused_after.max(waited);
+                    counts.max_refusal_ms = counts.max_refusal_ms.max(waited);
                 }
             }
         }
@@ -293,38 +309,42 @@
     (target, counts)
 }
 
-/// 60 calls a second, twice what the target bears while it is cold. Let through, it
-/// falls over four times and 128 of 360 are in time; with the bound 209.
+/// 60 calls per second are about twice what the target sustains while it is cold. Without a limit
+/// it crashes four times and 128 of 360 calls are in time; with the limit 209 are.
 #[test]
-fn a_cold_target_under_load_gets_warm() {
-    let (target, counts) = play(60, Some(BEARS as u32));
-    assert_eq!((target.falls, counts.lost), (0, 0), "{counts:?}");
+fn a_cold_target_under_overload_warms_up_without_a_crash() {
+    let (target, counts) = simulate(60, Some(MAX_RATE as u32));
+    assert_eq!((target.crashes, counts.lost), (0, 0), "{counts:?}");
     assert!(counts.in_time > 200, "{counts:?}");
-    assert!(counts.refused_after <= 100, "{counts:?}");
-    let (fallen, without) = play(60, None);
-    assert!(fallen.falls >= 2, "the load is none that a cold target falls over under");
-    assert!(without.in_time * 3 < counts.in_time * 2, "{without:?} of {counts:?}");
+    assert!(counts.max_refusal_ms <= 100, "{counts:?}");
+    let (crashing_target, without) = simulate(60, None);
+    assert!(crashing_target.crashes >= 2, "the load must crash a cold target that is not limited");
+    assert!(
+        without.in_time * 3 < counts.in_time * 2,
+        "without a limit {without:?}, with it {counts:?}"
+    );
 }
 
-/// Load that the target bears is not held back.
+/// Load that the cold target sustains is not limited.
 #[test]
-fn a_cold_target_takes_what_it_bears() {
-    let (target, counts) = play(20, Some(BEARS as u32));
-    assert_eq!((target.falls, counts.refused, counts.lost), (0, 0, 0), "{counts:?}");
+fn a_cold_target_gets_the_load_that_it_sustains() {
+    let (target, counts) = simulate(20, Some(MAX_RATE as u32));
+    assert_eq!((target.crashes, counts.refused, counts.lost), (0, 0, 0), "{counts:?}");
 }
 
-/// A queue before a cold target of which all room is taken at the start.
-fn queue_without_room() -> AdmissionQueue {
+/// Creates the queue of a cold target at which all permitted calls start at time zero.
+fn exhausted_queue() -> AdmissionQueue {
     let mut queue = AdmissionQueue::open(64);
-    queue.cold_start_mut().set_max_rate(Some(BEARS as u32));
+    queue.cold_start_mut().set_max_rate(Some(MAX_RATE as u32));
     queue.cold_start_mut().note_health_answer(MicroTime(0), SECOND + SECOND);
-    for id in 0..MOST as u128 {
+    for id in 0..MAX_STARTS as u128 {
         let started = offer(&mut queue, id, 0, true);
         assert_eq!(started, [AdmissionAction::Start(CallId(id))]);
     }
     queue
 }
 
+/// Offers a call that may wait for 300 ms and returns the resulting actions.
 fn offer(
     queue: &mut AdmissionQueue,
     id: u128,
@@ -348,16 +368,16 @@
 }
 
 #[test]
-fn a_call_that_may_go_elsewhere_is_sent_on_from_a_cold_target() {
-    let mut queue = queue_without_room();
+fn a_call_with_another_target_is_refused_at_an_exhausted_cold_target() {
+    let mut queue = exhausted_queue();
     let refused = offer(&mut queue, 100, 10, false);
     assert!(matches!(refused[..], [AdmissionAction::Refuse { reason: RefusalReason::Cold, .. }]));
 }
 
-/// What can't begin in time is refused at once, and told when room comes.
+/// A call that can't start in time is refused at once, with the time at which a call may start.
 #[test]
-fn a_refused_caller_is_told_when_a_cold_target_has_room() {
-    let mut queue = queue_without_room();
+fn a_refusal_at_a_cold_target_states_when_a_call_may_start() {
+    let mut queue = exhausted_queue();
     let refused = offer(&mut queue, 100, 500, true);
     let [AdmissionAction::Refuse { reason: RefusalReason::TooLate, retry_after_ms, .. }] =
         refused[..]
@@ -365,7 +385,7 @@
         panic!("{refused:?}")
     };
     assert_eq!(retry_after_ms, 600);
-    // One that may wait for it does, and begins then.
+    // A call that can wait until then does, and starts then.
     assert!(offer(&mut queue, 101, 900, true).is_empty());
     let mut out = Vec::new();
     queue.step(MicroTime::from_millis(1_099), AdmissionEvent::Tick, &mut out);
--- a/tests/crash_suspects.rs
+++ b/tests/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspected of ending targets: kernels alone.
+//! Requests suspected of crashing targets: crash records, their merging, and blame.
 
 use proptest::prelude::*;
 use railspan::{
@@ -6,14 +6,15 @@
     RequestDigest, RunningRequests, SuspectRecord, SuspectUpdate, TrackedRequest,
 };
 
-const DEADLY: RequestDigest = RequestDigest(7);
+/// Digest of the request that crashes targets.
+const CRASHING: RequestDigest = RequestDigest(7);
 
 fn notice(digest: u128, clearances: u32, crashes: u8) -> SuspectUpdate {
     let record = SuspectRecord { clearances, crashes };
     SuspectUpdate { digest: RequestDigest(digest), record }
 }
 
-/// Lets a target end under some requests, as a guard does that knows `suspects`.
+/// Crashes a target that runs some requests, at a guard that knows `suspects`; returns the notices.
 fn crash(suspects: &mut CrashSuspects, running: &[RequestDigest]) -> Vec<SuspectUpdate> {
     let mut runs = RunningRequests::default();
     for (number, digest) in running.iter().enumerate() {
@@ -28,46 +29,46 @@
 }
 
 #[test]
-fn three_crashes_in_a_row_blame_a_request_and_nothing_beside_it() {
+fn three_consecutive_crashes_blame_only_the_request_common_to_them() {
     let mut suspects = CrashSuspects::default();
     for round in 0..u128::from(BLAMED_AFTER_CRASHES) {
-        assert!(!suspects.record(DEADLY).is_blamed(), "blamed before round {round}");
-        let beside: Vec<RequestDigest> =
+        assert!(!suspects.record(CRASHING).is_blamed(), "blamed before round {round}");
+        let concurrent: Vec<RequestDigest> =
             (0..10).map(|number| RequestDigest(100 + round * 10 + number)).collect();
-        crash(&mut suspects, &[&*beside, &[DEADLY]].concat());
+        crash(&mut suspects, &[&*concurrent, &[CRASHING]].concat());
     }
-    assert!(suspects.record(DEADLY).is_blamed());
+    assert!(suspects.record(CRASHING).is_blamed());
     assert_eq!(suspects.blamed().len(), 1);
 }
 
 #[test]
-fn targets_that_end_at_once_count_as_one_crash() {
-    // A read that many callers make runs everywhere when a rack loses its power.
+fn targets_that_crash_at_once_count_as_one_crash() {
+    // A frequent read runs at all targets of a rack when the rack loses power.
     let mut suspects = CrashSuspects::default();
     let before = suspects.clone();
     for _ in 0..20 {
-        let notices = crash(&mut before.clone(), &[DEADLY]);
+        let notices = crash(&mut before.clone(), &[CRASHING]);
         suspects.merge(MicroTime(0), notices[0]);
     }
-    assert_eq!(suspects.record(DEADLY).crashes, 1);
+    assert_eq!(suspects.record(CRASHING).crashes, 1);
 }
 
 #[test]
-fn an_answer_clears_a_request_for_all_who_hear_of_it() {
+fn a_clearance_outranks_earlier_crashes() {
     let mut suspects = CrashSuspects::default();
-    let early = crash(&mut suspects, &[DEADLY])[0];
-    let record = crash(&mut suspects, &[DEADLY])[0].record.after_clearance();
+    let earlier = crash(&mut suspects, &[CRASHING])[0];
+    let record = crash(&mut suspects, &[CRASHING])[0].record.after_clearance();
     assert_eq!(
-        suspects.merge(MicroTime(0), SuspectUpdate { digest: DEADLY, record }),
+        suspects.merge(MicroTime(0), SuspectUpdate { digest: CRASHING, record }),
         NoticeEffect::New
     );
-    assert_eq!(suspects.merge(MicroTime(0), early), NoticeEffect::Outdated);
-    assert!(!suspects.record(DEADLY).is_suspected());
+    assert_eq!(suspects.merge(MicroTime(0), earlier), NoticeEffect::Outdated);
+    assert!(!suspects.record(CRASHING).is_suspected());
 }
 
 #[test]
-fn a_call_whose_caller_left_is_suspected_for_a_while() {
-    let run = TrackedRequest { digest: DEADLY, record_at_start: SuspectRecord::default() };
+fn an_abandoned_call_is_suspected_for_a_limited_time() {
+    let run = TrackedRequest { digest: CRASHING, record_at_start: SuspectRecord::default() };
     let mut runs = RunningRequests::default();
     runs.start(CallId(1), run);
     runs.abandon(MicroTime::from_millis(10), CallId(1));
@@ -75,24 +76,27 @@
     assert!(runs.target_ended(MicroTime::from_millis(5_000)).is_empty());
     runs.start(CallId(2), run);
     runs.finish(CallId(2));
-    assert!(runs.target_ended(MicroTime(0)).is_empty(), "what was answered ended nothing");
+    assert!(
+        runs.target_ended(MicroTime(0)).is_empty(),
+        "an answered request can't have crashed the target"
+    );
 }
 
 #[test]
-fn a_flood_of_suspects_does_not_push_out_what_is_blamed() {
+fn a_flood_of_suspects_does_not_evict_a_blamed_request() {
     let mut suspects = CrashSuspects::default();
-    suspects.merge(MicroTime(0), notice(DEADLY.0, 0, BLAMED_AFTER_CRASHES));
+    suspects.merge(MicroTime(0), notice(CRASHING.0, 0, BLAMED_AFTER_CRASHES));
     let hash = suspects.blamed_hash();
     for number in 0..3 * MAX_SUSPECTS as u128 {
         suspects.merge(MicroTime::from_millis(number as u64), notice(1_000 + number, 5, 1));
     }
     assert!(suspects.len() <= MAX_SUSPECTS);
-    assert!(suspects.record(DEADLY).is_blamed());
+    assert!(suspects.record(CRASHING).is_blamed());
     assert_eq!(suspects.blamed_hash(), hash);
 }
 
 #[test]
-fn a_digest_tells_what_is_asked_apart_and_reads_back() {
+fn a_digest_depends_on_each_part_of_a_request_and_can_be_parsed() {
     let parts: [&[u8]; 5] = [b"account", b"grillas.example", b"GET", b"/read/1?q=2", b"body"];
     let digest = RequestDigest::of(&parts);
     for index in 0..parts.len() {
@@ -101,8 +105,8 @@
         assert_ne!(RequestDigest::of(&other), digest, "part {index}");
     }
     assert_eq!(RequestDigest::parse(&digest.to_string()), Some(digest));
-    for wrong in ["", "12", "g".repeat(32).as_str(), "-0000000000000000000000000000001"] {
-        assert_eq!(RequestDigest::parse(wrong), None, "{wrong}");
+    for invalid in ["", "12", "g".repeat(32).as_str(), "-0000000000000000000000000000001"] {
+        assert_eq!(RequestDigest::parse(invalid), None, "{invalid}");
     }
 }
 
@@ -114,19 +118,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Gossip repeats, delays and reorders: what two daemons heard in any order, and any
-    /// number of times, leaves them with the same beliefs.
+    /// Gossip repeats, delays and reorders notices: two daemons that received the same ones in any
+    /// order, and any number of times, have the same records.
     #[test]
-    fn order_and_repetition_make_no_difference(
+    fn order_and_repetition_of_notices_make_no_difference(
         notices in proptest::collection::vec(any_notice(), 0..20),
-        again in proptest::collection::vec(0..20_usize, 0..20),
+        repeated in proptest::collection::vec(0..20_usize, 0..20),
     ) {
-        let mut one = CrashSuspects::default();
+        let mut first = CrashSuspects::default();
         let mut other = CrashSuspects::default();
         for notice in &notices {
-            one.merge(MicroTime(0), *notice);
+            first.merge(MicroTime(0), *notice);
         }
-        for index in again {
+        for index in repeated {
             if let Some(notice) = notices.get(index) {
                 other.merge(MicroTime(0), *notice);
             }
@@ -134,35 +138,35 @@
         for notice in notices.iter().rev() {
             other.merge(MicroTime(0), *notice);
         }
-        prop_assert_eq!(one.notices(), other.notices());
-        prop_assert_eq!(one.blamed_hash(), other.blamed_hash());
-        prop_assert_eq!(one.blamed_hash() == 0, one.blamed().is_empty());
+        prop_assert_eq!(first.notices(), other.notices());
+        prop_assert_eq!(first.blamed_hash(), other.blamed_hash());
+        prop_assert_eq!(first.blamed_hash() == 0, first.blamed().is_empty());
     }
 
-    /// Whatever runs beside it, a request that ends each target is blamed after three
-    /// runs that knew of each other, and one that is ever answered in between is not.
+    /// Whatever runs beside it, a request that crashes each target is blamed after three runs that
+    /// each began with the crash before known, and not if an answer came in between.
     #[test]
     fn blame_needs_three_crashes_without_an_answer(
         events in proptest::collection::vec(0..4_u8, 0..40),
     ) {
         let mut suspects = CrashSuspects::default();
-        let mut in_a_row = 0;
+        let mut consecutive_crashes = 0;
         for event in events {
-            if suspects.record(DEADLY).is_blamed() {
+            if suspects.record(CRASHING).is_blamed() {
                 break;
             }
             if event == 0 {
-                let record = suspects.record(DEADLY);
+                let record = suspects.record(CRASHING);
                 if record.is_suspected() {
                     let record = record.after_clearance();
-                    suspects.merge(MicroTime(0), SuspectUpdate { digest: DEADLY, record });
+                    suspects.merge(MicroTime(0), SuspectUpdate { digest: CRASHING, record });
                 }
-                in_a_row = 0;
+                consecutive_crashes = 0;
             } else {
-                crash(&mut suspects, &[DEADLY, RequestDigest(u128::from(event))]);
-                in_a_row += 1;
+                crash(&mut suspects, &[CRASHING, RequestDigest(u128::from(event))]);
+                consecutive_crashes += 1;
             }
-            prop_assert_eq!(suspects.record(DEADLY).is_blamed(), in_a_row >= BLAMED_AFTER_CRASHES);
+            prop_assert_eq!(suspects.record(CRASHING).is_blamed(), consecutive_crashes >= BLAMED_AFTER_CRASHES);
         }
     }
 }
