--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -206,13 +206,16 @@
     crashes: u32,
 }
 
+/// Time for which a [`ColdTarget`] is cold after a start.
 const COLD_MS: u64 = 3_000;
+/// Time from a crash of a [`ColdTarget`] to its restart.
 const DOWN_MS: u64 = 1_000;
+/// Duration of a call at a warm [`ColdTarget`].
 const WORK_MS: u64 = 60;
 
 /// Outcomes of the calls to one target.
 #[derive(Debug, Default)]
-struct CallerCounts {
+struct CallCounts {
     in_time: u32,
     refused: u32,
     lost: u32,
@@ -247,12 +250,12 @@
 }
 
 /// Simulates `per_s` calls per second for six seconds to a target that is cold at first.
-fn simulate(per_s: u64, max_rate: Option<u32>) -> (ColdTarget, CallerCounts) {
+fn simulate(per_s: u64, max_rate: Option<u32>) -> (ColdTarget, CallCounts) {
     let mut target = ColdTarget::open();
     let mut queue = AdmissionQueue::open(11);
     queue.cold_start_mut().set_max_rate(max_rate);
     queue.cold_start_mut().note_health_answer(MicroTime(0), MicroTime::from_millis(COLD_MS));
-    let mut counts = CallerCounts::default();
+    let mut counts = CallCounts::default();
     let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
     let mut arrived: Vec<u64> = Vec::new();
     for now_ms in 0..6_000_u64 {
@@ -317,11 +320,11 @@
     assert_eq!((target.crashes, counts.lost), (0, 0), "{counts:?}");
     assert!(counts.in_time > 200, "{counts:?}");
     assert!(counts.max_refusal_ms <= 100, "{counts:?}");
-    let (crashing_target, without) = simulate(60, None);
-    assert!(crashing_target.crashes >= 2, "the load must crash a cold target that is not limited");
+    let (unlimited_target, unlimited_counts) = simulate(60, None);
+    assert!(unlimited_target.crashes >= 2, "the load must crash a cold target that is not limited");
     assert!(
-        without.in_time * 3 < counts.in_time * 2,
-        "without a limit {without:?}, with it {counts:?}"
+        unlimited_counts.in_time * 3 < counts.in_time * 2,
+        "without a limit {unlimited_counts:?}, with it {counts:?}"
     );
 }
 
--- a/tests/store_followers.rs
+++ b/tests/store_followers.rs
@@ -1,4 +1,4 @@
-//! Who follows the platform's store, however large the fleet is.
+//! Selection of the daemons that follow the platform's store, for fleets of any size.
 
 use proptest::prelude::*;
 use railspan::{
@@ -23,12 +23,13 @@
     }
 }
 
+/// Returns the members that select themselves as followers.
 fn followers(fleet: &[MemberRecord]) -> Vec<&MemberRecord> {
     fleet.iter().filter(|member| follows_store(fleet.iter(), &member.host)).collect()
 }
 
 #[test]
-fn a_daemon_that_knows_nobody_follows() {
+fn a_daemon_without_known_members_follows_the_store() {
     assert_eq!(followers(&[member(0, MemberState::Alive, false)]).len(), 1);
 }
 
@@ -38,32 +39,32 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same few follow whoever looks; those in doubt and those that lost the
-    /// store are replaced, unless nobody reaches it.
+    /// As many daemons as permitted follow the store. Suspect members and those that lost the
+    /// store are replaced, unless no daemon reaches it.
     #[test]
-    fn as_many_follow_as_can(states in prop::collection::vec((0_u8..4, any::<bool>()), 1..200)) {
-        let all = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
+    fn as_many_daemons_as_permitted_follow_the_store(states in prop::collection::vec((0_u8..4, any::<bool>()), 1..200)) {
+        let member_states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
         let fleet: Vec<MemberRecord> = states
             .iter()
             .enumerate()
-            .map(|(number, (state, lost))| member(number, all[usize::from(*state)], *lost))
+            .map(|(number, (state, lost))| member(number, member_states[usize::from(*state)], *lost))
             .collect();
-        let sound = fleet.iter().filter(|member| member.state == MemberState::Alive).count();
-        let reaching = |member: &&MemberRecord| member.state == MemberState::Alive && !member.store_lost;
-        let reaching = fleet.iter().filter(reaching).count();
+        let alive = fleet.iter().filter(|member| member.state == MemberState::Alive).count();
+        let reaches_store = |member: &&MemberRecord| member.state == MemberState::Alive && !member.store_lost;
+        let reaching = fleet.iter().filter(reaches_store).count();
         let chosen = followers(&fleet);
         prop_assert!(chosen.iter().all(|member| member.state == MemberState::Alive));
         if reaching > 0 {
             prop_assert_eq!(chosen.len(), reaching.min(MAX_STORE_FOLLOWERS));
             prop_assert!(chosen.iter().all(|member| !member.store_lost));
         } else {
-            prop_assert_eq!(chosen.len(), sound.min(MAX_STORE_FOLLOWERS));
+            prop_assert_eq!(chosen.len(), alive.min(MAX_STORE_FOLLOWERS));
         }
     }
 
-    /// A loss changes who follows by no more than those that were lost.
+    /// The loss of a member replaces no follower other than that member.
     #[test]
-    fn a_loss_replaces_the_lost_alone(size in 20_usize..120, lost in 0_usize..20) {
+    fn the_loss_of_a_member_replaces_no_other_follower(size in 20_usize..120, lost in 0_usize..20) {
         let mut fleet: Vec<MemberRecord> =
             (0..size).map(|number| member(number, MemberState::Alive, false)).collect();
         let before: Vec<HostName> =
@@ -71,8 +72,8 @@
         fleet[lost].state = MemberState::Dead;
         let after: Vec<HostName> =
             followers(&fleet).into_iter().map(|member| member.host.clone()).collect();
-        let gone = before.iter().filter(|host| !after.contains(host)).count();
-        prop_assert_eq!(gone, usize::from(before.contains(&fleet[lost].host)));
+        let replaced = before.iter().filter(|host| !after.contains(host)).count();
+        prop_assert_eq!(replaced, usize::from(before.contains(&fleet[lost].host)));
         prop_assert_eq!(after.len(), MAX_STORE_FOLLOWERS);
     }
 }
