--- a/tests/report_pacer.rs
+++ b/tests/report_pacer.rs
@@ -1,4 +1,4 @@
-//! Load reports to those who listen: within the rate, and evenly.
+//! Pacing of load reports to watchers: within the rate, and evenly spaced.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -7,63 +7,64 @@
 use railspan::{MicroTime, ProbeBudget, ReportPacer};
 use seeded::seeded;
 
-/// Bytes of one report to one listener.
-const REPORT: u64 = 50;
+/// Size of one report to one watcher, in bytes.
+const REPORT_BYTES: u64 = 50;
 
-/// Time between two looks of a guard at its load.
-const LOOK_MS: u64 = 20;
+/// Time between two checks of a guard's load, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 20;
 
 proptest! {
     #![proptest_config(seeded(300))]
 
-    /// In no span more is granted than the rate and one report to all.
+    /// Over any time, no more bytes are granted than the rate permits plus one report to all
+    /// watchers.
     #[test]
-    fn reports_keep_to_their_rate(rate in 100_u32..20_000, listeners in 1_u64..300, gaps in proptest::collection::vec(0_u64..200_000, 1..300)) {
-        let mut pacer = ReportPacer::open(rate);
+    fn reports_keep_to_the_rate(bytes_per_s in 100_u32..20_000, watchers in 1_u64..300, gaps in proptest::collection::vec(0_u64..200_000, 1..300)) {
+        let mut pacer = ReportPacer::open(bytes_per_s);
         let mut now = MicroTime(0);
         let mut granted: Vec<u64> = Vec::new();
         for gap in gaps {
             now = now + MicroTime(gap);
-            if pacer.try_take(now, listeners * REPORT) {
+            if pacer.try_take(now, watchers * REPORT_BYTES) {
                 granted.push(now.0);
             }
         }
         for (index, first) in granted.iter().enumerate() {
-            for (more, last) in granted[index..].iter().enumerate() {
-                let bytes = (more as u64 + 1) * listeners * REPORT;
-                let allowed = (last - first) * u64::from(rate) / 1_000_000 + listeners * REPORT;
-                prop_assert!(bytes <= allowed + more as u64 + 1, "{bytes} of {allowed}");
+            for (count, last) in granted[index..].iter().enumerate() {
+                let bytes = (count as u64 + 1) * watchers * REPORT_BYTES;
+                let allowed = (last - first) * u64::from(bytes_per_s) / 1_000_000 + watchers * REPORT_BYTES;
+                prop_assert!(bytes <= allowed + count as u64 + 1, "{bytes} of {allowed}");
             }
         }
     }
 }
 
-/// Plays a load that changes at every look for ten seconds; returns the mean age of
-/// what listeners were told last, in milliseconds.
-fn mean_age_ms(mut may_tell: impl FnMut(MicroTime) -> bool) -> u64 {
-    let looks = 10_000 / LOOK_MS;
-    let mut told = 0;
-    let mut ages = 0;
-    for look in 0..looks {
-        let now_ms = look * LOOK_MS;
-        if may_tell(MicroTime::from_millis(now_ms)) {
-            told = now_ms;
+/// Simulates ten seconds of a load that changes at every check; returns the mean age of the latest
+/// report, in milliseconds.
+fn mean_age_ms(mut may_report: impl FnMut(MicroTime) -> bool) -> u64 {
+    let checks = 10_000 / CHECK_INTERVAL_MS;
+    let mut reported_ms = 0;
+    let mut total_age = 0;
+    for check in 0..checks {
+        let now_ms = check * CHECK_INTERVAL_MS;
+        if may_report(MicroTime::from_millis(now_ms)) {
+            reported_ms = now_ms;
         }
-        ages += now_ms - told;
+        total_age += now_ms - reported_ms;
     }
-    ages / looks
+    total_age / checks
 }
 
-/// 24 listeners near and 24 far, 10 kB a second. A budget by the second for all of them
-/// alike leaves them with reports 432 ms old in the mean; at an even pace, 8 kB of it
-/// near, those near know what was so 69 ms before, those far 286.
+/// There are 24 local and 24 remote watchers and 10 kB per second. With one budget per second for
+/// all of them, reports are 432 ms old in the mean. Evenly spaced, with 8 kB of the 10 kB for local
+/// watchers, the mean age is 69 ms for local watchers and 286 ms for remote ones.
 #[test]
-fn those_near_know_more_than_by_a_budget_of_seconds() {
+fn paced_reports_are_newer_than_with_a_budget_per_second() {
     let mut budget = ProbeBudget::open(u32::MAX, 10_000);
-    let by_second = mean_age_ms(|now| budget.try_take(now, 48, 48 * REPORT as u32));
-    let (mut near, mut far) = (ReportPacer::open(8_000), ReportPacer::open(2_000));
-    let near_ms = mean_age_ms(|now| near.try_take(now, 24 * REPORT));
-    let far_ms = mean_age_ms(|now| far.try_take(now, 24 * REPORT));
-    assert!(near_ms * 4 < by_second, "{near_ms} near, {by_second} by the second");
-    assert!(far_ms < by_second, "{far_ms} far, {by_second} by the second");
+    let budget_ms = mean_age_ms(|now| budget.try_take(now, 48, 48 * REPORT_BYTES as u32));
+    let (mut local, mut remote) = (ReportPacer::open(8_000), ReportPacer::open(2_000));
+    let local_ms = mean_age_ms(|now| local.try_take(now, 24 * REPORT_BYTES));
+    let remote_ms = mean_age_ms(|now| remote.try_take(now, 24 * REPORT_BYTES));
+    assert!(local_ms * 4 < budget_ms, "{local_ms} ms local, {budget_ms} ms by a budget per second");
+    assert!(remote_ms < budget_ms, "{remote_ms} ms remote, {budget_ms} ms by a budget per second");
 }
--- a/tests/request_trace.rs
+++ b/tests/request_trace.rs
@@ -1,4 +1,4 @@
-//! Trace of a request, from logs that may be cut or mixed.
+//! Trace of a request, read from logs that may be truncated or mixed.
 
 use railspan::RequestTrace;
 
@@ -18,25 +18,25 @@
 }
 
 #[test]
-fn lines_of_several_daemons_are_joined_in_order() {
+fn lines_of_several_daemons_are_merged_in_order_of_time() {
     let trace = RequestTrace::read("abc", &logs());
-    let told: Vec<_> = trace.lines.iter().map(|line| (&*line.host, &*line.msg)).collect();
+    let lines: Vec<_> = trace.lines.iter().map(|line| (&*line.host, &*line.msg)).collect();
     let expected =
         [("host-a", "chosen"), ("host-b", "sent"), ("host-b", "chosen"), ("host-a", "answered")];
-    assert_eq!(told, expected);
+    assert_eq!(lines, expected);
     assert!(trace.render().contains("host-b chosen call=abc.1 target=i-5"), "{}", trace.render());
 }
 
 #[test]
-fn a_cut_line_is_named_and_passed_over() {
+fn a_truncated_line_is_reported_and_skipped() {
     let trace = RequestTrace::read("abc", &logs());
-    let places: Vec<_> =
+    let positions: Vec<_> =
         trace.findings.iter().map(|finding| (&*finding.file, finding.position.line)).collect();
-    assert_eq!(places, [("a.log", 5)]);
+    assert_eq!(positions, [("a.log", 5)]);
 }
 
 #[test]
-fn a_digest_traces_all_copies() {
+fn the_trace_of_a_digest_has_all_copies_of_the_request() {
     let line = |id: &str, ts: &str| {
         format!(r#"{{"msg":"chosen","ts":"{ts}","host":"a","digest":"00ff","id":"{id}"}}"#)
     };
@@ -49,6 +49,6 @@
 }
 
 #[test]
-fn an_unknown_request_has_no_trace() {
+fn the_trace_of_an_unknown_request_is_empty() {
     assert!(RequestTrace::read("nobody", &logs()).lines.is_empty());
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of a deployment: which one holds, and on which terms.
+//! Routes of a deployment: which one a request matches, and how it splits requests by weight.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -28,37 +28,38 @@
     FleetConfig { routes, ..FleetConfig::default() }
 }
 
-fn named<'a>(config: &'a FleetConfig, host: &str, path: &str) -> Option<&'a str> {
+/// Returns the name of the route that a request matches.
+fn route_name<'a>(config: &'a FleetConfig, host: &str, path: &str) -> Option<&'a str> {
     config.route(host, path).map(|route| route.name.as_str())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_holds() {
+fn the_route_with_the_longest_prefix_of_the_host_is_used() {
     let config = config(vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ]);
-    assert_eq!(named(&config, "a.example", "/x/y/z/1"), Some("long"));
-    assert_eq!(named(&config, "a.example", "/x/yy"), Some("short"));
-    assert_eq!(named(&config, "A.Example:8080", "/x/y/"), Some("long"));
-    assert_eq!(named(&config, "b.example", "/x/y/1"), None);
-    assert_eq!(named(&config, "a.example", "/"), None);
+    assert_eq!(route_name(&config, "a.example", "/x/y/z/1"), Some("long"));
+    assert_eq!(route_name(&config, "a.example", "/x/yy"), Some("short"));
+    assert_eq!(route_name(&config, "A.Example:8080", "/x/y/"), Some("long"));
+    assert_eq!(route_name(&config, "b.example", "/x/y/1"), None);
+    assert_eq!(route_name(&config, "a.example", "/"), None);
 }
 
 #[test]
-fn a_configuration_survives_its_way_between_daemons() {
-    let whole = config(vec![route("r", "a.example", "/x/")]);
-    let text = serde_json::to_string(&whole).expect("text");
-    assert_eq!(serde_json::from_str::<FleetConfig>(&text).expect("read"), whole);
+fn a_configuration_is_unchanged_after_serialisation() {
+    let original = config(vec![route("r", "a.example", "/x/")]);
+    let text = serde_json::to_string(&original).expect("serialises");
+    assert_eq!(serde_json::from_str::<FleetConfig>(&text).expect("parses"), original);
 }
 
 proptest! {
     #![proptest_config(seeded(200))]
 
-    /// No shorter prefix that fits wins, whatever the order of the routes.
+    /// The matching route with the longest prefix is used, whatever the order of the routes.
     #[test]
-    fn no_other_route_that_fits_is_longer(
+    fn no_matching_route_has_a_longer_prefix(
         prefixes in proptest::collection::vec("/([ab]/){0,3}", 1..8),
         path in "/([ab]/){0,4}",
     ) {
@@ -74,28 +75,28 @@
 proptest! {
     #![proptest_config(seeded(60))]
 
-    /// Of any 300 requests that 69 entries draw, each for itself, each part gets its
-    /// weight's share within a tenth; a part without weight gets nothing.
+    /// 69 entries choose independently. Of 300 consecutive requests, each service gets its share by
+    /// weight within a tenth of all requests, and a service of weight zero gets none.
     #[test]
-    fn a_split_is_kept_by_the_fleet(weights in proptest::collection::vec(0_u32..100, 1..4), seed: u64) {
+    fn a_split_follows_the_weights_over_all_entries(weights in proptest::collection::vec(0_u32..100, 1..4), seed: u64) {
         prop_assume!(weights.iter().sum::<u32>() > 0);
         let mut split = route("split", "a.example", "/");
         split.services = weights
             .iter()
             .enumerate()
-            .map(|(part, weight)| WeightedService { service: (*format!("part-{part}")).into(), weight: *weight })
+            .map(|(index, weight)| WeightedService { service: (*format!("part-{index}")).into(), weight: *weight })
             .collect();
         let mut entries: Vec<Pcg64Mcg> =
             (0..69).map(|entry| Pcg64Mcg::seed_from_u64(seed.wrapping_add(entry))).collect();
-        let drawn: Vec<ServiceName> =
-            (0..1_500).map(|turn| split.choose_service(&mut entries[turn * 31 % 69]).clone()).collect();
-        let whole = f64::from(weights.iter().sum::<u32>());
-        for span in drawn.windows(300).step_by(50) {
-            for target in &split.services {
-                let got = span.iter().filter(|service| **service == target.service).count();
-                let off = got as f64 / 300.0 - f64::from(target.weight) / whole;
-                prop_assert!(off.abs() < 0.1, "{off} at {target:?}");
-                prop_assert!(target.weight > 0 || got == 0);
+        let chosen: Vec<ServiceName> =
+            (0..1_500).map(|number| split.choose_service(&mut entries[number * 31 % 69]).clone()).collect();
+        let total_weight = f64::from(weights.iter().sum::<u32>());
+        for span in chosen.windows(300).step_by(50) {
+            for weighted in &split.services {
+                let count = span.iter().filter(|service| **service == weighted.service).count();
+                let deviation = count as f64 / 300.0 - f64::from(weighted.weight) / total_weight;
+                prop_assert!(deviation.abs() < 0.1, "share is off by {deviation} for {weighted:?}");
+                prop_assert!(weighted.weight > 0 || count == 0);
             }
         }
     }
