--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -1,6 +1,6 @@
-//! Kernels of membership over a network of the test's making, in virtual time.
+//! Membership state machines of several daemons, connected by a simulated network in virtual time.
 
-#![allow(dead_code, reason = "each test takes what it needs")]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,52 +13,64 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+/// Port of the daemon with index zero.
 const FIRST_PORT: u16 = 10_000;
 
+/// Time between two ticks of each daemon.
 const TICK_MS: u64 = 100;
 
 /// Data centres of a small fleet.
 const CENTRES: usize = 3;
 
-/// Bytes of a datagram that are not its message.
-const DATAGRAM_HEAD: u64 = 28;
+/// Size of the headers of a datagram, in bytes.
+const DATAGRAM_HEADER_BYTES: u64 = 28;
 
-/// What it takes to fetch a revision: time, in milliseconds, and bytes.
+/// Time and size of a revision fetched from a peer.
 const FETCH_MS: u64 = 20;
 const FETCH_BYTES: u64 = 5_000;
 
-/// Bytes of a connection for one exchange that are not records, both ways.
-const EXCHANGE_HEAD: u64 = 2_000;
+/// Size of a full exchange in both directions, apart from the records, in bytes.
+const EXCHANGE_OVERHEAD_BYTES: u64 = 2_000;
 
-/// Daemons' kernels over a network of the test's making.
+/// Daemons on a simulated network that loses, delays and repeats datagrams.
 pub struct FakeNetwork {
+    /// State machine of each running daemon, by address.
     pub nodes: BTreeMap<SocketAddr, MembershipState>,
-    /// Datagrams by the time they arrive.
-    flying: BTreeMap<(u64, u64), (SocketAddr, SocketAddr, MembershipEvent)>,
-    seen: HashMap<SocketAddr, HashMap<String, (u64, MemberState)>>,
-    sent: u64,
+    /// Datagrams and fetched revisions in transit as `(from, to, event)`, by arrival time and
+    /// sequence number.
+    in_transit: BTreeMap<(u64, u64), (SocketAddr, SocketAddr, MembershipEvent)>,
+    /// Last version and state of each host in the view of each daemon.
+    last_seen: HashMap<SocketAddr, HashMap<String, (u64, MemberState)>>,
+    /// Sequence number of the last entry in `in_transit`.
+    last_sequence: u64,
     pub now_ms: u64,
     pub rng: Pcg64Mcg,
+    /// Probability that a datagram is lost.
     loss: f64,
-    /// Whether some datagrams are repeated or come after a period.
-    unruly: bool,
-    /// Nodes of the one side; the rest is the other.
-    pub cut: Option<usize>,
-    largest: usize,
-    /// Bytes of datagrams and exchanges, and of those between data centres.
+    /// Whether some datagrams are repeated, or delayed, some of them by more than a gossip period.
+    delays_and_repeats: bool,
+    /// Number of daemons, by index, that are partitioned from the rest; `None` without a partition.
+    pub partition: Option<usize>,
+    /// Size of the largest datagram so far, in bytes.
+    max_datagram: usize,
+    /// Bytes of all datagrams, full exchanges and fetched revisions.
     pub bytes: u64,
-    pub crossing: u64,
-    /// The revision that each daemon fetches, or fetched last.
-    fetching: HashMap<SocketAddr, u64>,
+    /// The part of `bytes` that crossed between data centres.
+    pub remote_bytes: u64,
+    /// Revision that each daemon fetches or fetched last.
+    fetched: HashMap<SocketAddr, u64>,
+    /// Number of data centres; the daemon with index `i` is in number `i % centres`.
     centres: usize,
-    /// Whether what must hold is checked at every tick; slow in a large fleet.
-    checked: bool,
+    /// Whether the invariants are checked at every tick, which is slow in a large fleet.
+    checks_invariants: bool,
 }
 
+/// Returns the address of a daemon.
 pub fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + index as u16))
 }
 
+/// Returns the member record of a daemon that has just started.
 pub fn record(index: usize, incarnation: u64) -> MemberRecord {
     MemberRecord {
         host: format!("host-{index}").as_str().into(),
@@ -77,23 +89,24 @@
 }
 
 impl FakeNetwork {
+    /// Starts `count` daemons on a network that loses datagrams with probability `loss`.
     pub fn open(count: usize, seed: u64, loss: f64) -> Self {
         let mut network = Self {
             nodes: BTreeMap::new(),
-            flying: BTreeMap::new(),
-            seen: HashMap::new(),
-            sent: 0,
+            in_transit: BTreeMap::new(),
+            last_seen: HashMap::new(),
+            last_sequence: 0,
             now_ms: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             loss,
-            unruly: true,
-            cut: None,
-            largest: 0,
+            delays_and_repeats: true,
+            partition: None,
+            max_datagram: 0,
             bytes: 0,
-            crossing: 0,
-            fetching: HashMap::new(),
+            remote_bytes: 0,
+            fetched: HashMap::new(),
             centres: CENTRES,
-            checked: true,
+            checks_invariants: true,
         };
         for index in 0..count {
             network.start(index, index as u64);
@@ -101,24 +114,26 @@
         network
     }
 
-    /// Opens a fleet of many daemons in some data centres, of which none is
-    /// started yet; nothing is delayed or repeated beyond the loss.
+    /// Creates a network for a large fleet in `centres` data centres, without daemons at first; it
+    /// loses datagrams, but neither delays nor repeats them, and the invariants are not checked.
     pub fn open_large(centres: usize, seed: u64, loss: f64) -> Self {
         let mut network = Self::open(0, seed, loss);
         network.centres = centres;
-        network.unruly = false;
-        network.checked = false;
+        network.delays_and_repeats = false;
+        network.checks_invariants = false;
         network
     }
 
-    /// Starts a node that knows those before it, as the table would tell.
+    /// Starts a daemon that knows all running ones, as if it had read their rows from the table.
     pub fn start(&mut self, index: usize, incarnation: u64) {
-        let known: Vec<MemberRecord> = self.nodes.values().map(|node| node.own().clone()).collect();
+        let records: Vec<MemberRecord> =
+            self.nodes.values().map(|node| node.own().clone()).collect();
         self.nodes.insert(address(index), MembershipState::open(record(index, incarnation)));
-        self.seen.remove(&address(index));
-        self.step(address(index), MembershipEvent::RecordsReceived(known));
+        self.last_seen.remove(&address(index));
+        self.step(address(index), MembershipEvent::RecordsReceived(records));
     }
 
+    /// Passes an event to a daemon and carries out the resulting actions.
     pub fn step(&mut self, at: SocketAddr, event: MembershipEvent) {
         let now = MicroTime::from_millis(self.now_ms);
         let mut actions = Vec::new();
@@ -128,89 +143,99 @@
             match action {
                 MembershipAction::Send { to, message } => {
                     let bytes = encode(&message).expect("encodes");
-                    self.largest = self.largest.max(bytes.len());
-                    self.count(at, to, bytes.len() as u64 + DATAGRAM_HEAD);
+                    self.max_datagram = self.max_datagram.max(bytes.len());
+                    self.count_bytes(at, to, bytes.len() as u64 + DATAGRAM_HEADER_BYTES);
                     self.send(at, to, &MembershipEvent::Message { from: at, message });
                 }
-                MembershipAction::Sync { peer } if !self.separated(at, peer) => self.sync(at, peer),
-                MembershipAction::FetchRevision { peer } => self.fetch(at, peer),
+                MembershipAction::Sync { peer } if !self.is_separated(at, peer) => {
+                    self.sync(at, peer)
+                }
+                MembershipAction::FetchRevision { peer } => self.fetch_revision(at, peer),
                 _ => {}
             }
         }
     }
 
-    fn count(&mut self, from: SocketAddr, to: SocketAddr, bytes: u64) {
+    /// Counts the bytes of a transfer.
+    fn count_bytes(&mut self, from: SocketAddr, to: SocketAddr, bytes: u64) {
         let centre = |at: SocketAddr| usize::from(at.port() - FIRST_PORT) % self.centres;
         self.bytes += bytes;
         if centre(from) != centre(to) {
-            self.crossing += bytes;
+            self.remote_bytes += bytes;
         }
     }
 
-    /// Fetches a peer's revision, which takes a while; one at a time.
-    fn fetch(&mut self, at: SocketAddr, peer: SocketAddr) {
-        let (Some(node), Some(other)) = (self.nodes.get(&at), self.nodes.get(&peer)) else {
+    /// Fetches a peer's revision, unless the daemon fetches or fetched that revision already.
+    fn fetch_revision(&mut self, at: SocketAddr, peer: SocketAddr) {
+        let (Some(node), Some(peer_node)) = (self.nodes.get(&at), self.nodes.get(&peer)) else {
             return;
         };
-        let (targets, revision) = (node.own().targets.clone(), other.own().revision);
-        if self.separated(at, peer) || self.fetching.get(&at) == Some(&revision) {
+        let (targets, revision) = (node.own().targets.clone(), peer_node.own().revision);
+        if self.is_separated(at, peer) || self.fetched.get(&at) == Some(&revision) {
             return;
         }
-        self.fetching.insert(at, revision);
-        self.count(peer, at, FETCH_BYTES);
-        self.sent += 1;
+        self.fetched.insert(at, revision);
+        self.count_bytes(peer, at, FETCH_BYTES);
+        self.last_sequence += 1;
         let event = MembershipEvent::OwnChanged { targets, revision };
-        self.flying.insert((self.now_ms + FETCH_MS, self.sent), (peer, at, event));
+        self.in_transit.insert((self.now_ms + FETCH_MS, self.last_sequence), (peer, at, event));
     }
 
     /// Loses, delays or repeats a datagram.
     fn send(&mut self, from: SocketAddr, to: SocketAddr, event: &MembershipEvent) {
-        let copies = if self.unruly && self.rng.random_bool(0.05) { 2 } else { 1 };
+        let copies = if self.delays_and_repeats && self.rng.random_bool(0.05) { 2 } else { 1 };
         for _ in 0..copies {
             if self.rng.random_bool(self.loss) {
                 continue;
             }
-            self.sent += 1;
-            let late = if self.unruly && self.rng.random_bool(0.05) { 700 } else { 5 };
-            let arrives = self.now_ms + self.rng.random_range(1..=late);
-            self.flying.insert((arrives, self.sent), (from, to, event.clone()));
+            self.last_sequence += 1;
+            let max_delay_ms =
+                if self.delays_and_repeats && self.rng.random_bool(0.05) { 700 } else { 5 };
+            let arrives = self.now_ms + self.rng.random_range(1..=max_delay_ms);
+            self.in_transit.insert((arrives, self.last_sequence), (from, to, event.clone()));
         }
     }
 
+    /// Makes a full exchange between two daemons.
     pub fn sync(&mut self, at: SocketAddr, peer: SocketAddr) {
-        let (Some(one), Some(other)) = (self.nodes.get(&at), self.nodes.get(&peer)) else { return };
-        let to_one = other.differing_records(&one.bucket_digests());
-        let to_other = one.differing_records(&other.bucket_digests());
-        let records = to_one.iter().chain(&to_other);
+        let (Some(node), Some(peer_node)) = (self.nodes.get(&at), self.nodes.get(&peer)) else {
+            return;
+        };
+        let for_node = peer_node.differing_records(&node.bucket_digests());
+        let for_peer = node.differing_records(&peer_node.bucket_digests());
+        let records = for_node.iter().chain(&for_peer);
         let bytes: usize = records.map(|record| encode(record).expect("encodes").len()).sum();
-        self.count(at, peer, bytes as u64 + EXCHANGE_HEAD);
-        self.step(at, MembershipEvent::RecordsReceived(to_one));
-        self.step(peer, MembershipEvent::RecordsReceived(to_other));
+        self.count_bytes(at, peer, bytes as u64 + EXCHANGE_OVERHEAD_BYTES);
+        self.step(at, MembershipEvent::RecordsReceived(for_node));
+        self.step(peer, MembershipEvent::RecordsReceived(for_peer));
     }
 
-    /// From now on every datagram arrives once and soon.
-    pub fn calm(&mut self) {
+    /// Stops losing, delaying and repeating datagrams.
+    pub fn make_reliable(&mut self) {
         self.loss = 0.0;
-        self.unruly = false;
+        self.delays_and_repeats = false;
     }
 
-    fn separated(&self, one: SocketAddr, other: SocketAddr) -> bool {
-        let side =
-            |at: SocketAddr| self.cut.is_some_and(|cut| usize::from(at.port() - FIRST_PORT) < cut);
-        side(one) != side(other)
+    /// Returns whether the partition separates two daemons.
+    fn is_separated(&self, left: SocketAddr, right: SocketAddr) -> bool {
+        let side = |at: SocketAddr| {
+            self.partition.is_some_and(|size| usize::from(at.port() - FIRST_PORT) < size)
+        };
+        side(left) != side(right)
     }
 
-    pub fn run(&mut self, for_ms: u64) -> Result<(), TestCaseError> {
-        let until = self.now_ms + for_ms;
+    /// Advances the time, delivers datagrams and ticks all daemons.
+    pub fn run(&mut self, duration_ms: u64) -> Result<(), TestCaseError> {
+        let until = self.now_ms + duration_ms;
         while self.now_ms < until {
             let tick = self.now_ms + TICK_MS;
-            while let Some((&(at, _), _)) = self.flying.first_key_value() {
+            while let Some((&(at, _), _)) = self.in_transit.first_key_value() {
                 if at > tick {
                     break;
                 }
-                let Some((_, (from, to, event))) = self.flying.pop_first() else { break };
+                let Some((_, (from, to, event))) = self.in_transit.pop_first() else { break };
                 self.now_ms = self.now_ms.max(at);
-                if !self.separated(from, to) {
+                if !self.is_separated(from, to) {
                     self.step(to, event);
                 }
             }
@@ -219,34 +244,40 @@
             for at in all {
                 self.step(at, MembershipEvent::Tick);
             }
-            if self.checked {
-                self.check()?;
+            if self.checks_invariants {
+                self.check_invariants()?;
             }
         }
         Ok(())
     }
 
-    /// Checks what must hold at every moment.
-    fn check(&mut self) -> Result<(), TestCaseError> {
+    /// Checks the invariants: no daemon considers itself dead, no `(version, state)` in a view
+    /// decreases, and no datagram is too large.
+    fn check_invariants(&mut self) -> Result<(), TestCaseError> {
         for (at, node) in &self.nodes {
             prop_assert!(node.own().state != MemberState::Dead);
-            let seen = self.seen.entry(*at).or_default();
+            let last_seen = self.last_seen.entry(*at).or_default();
             for member in node.view().members {
-                let newest = (member.version, member.state);
-                let before = seen.insert(member.host.to_string(), newest);
-                prop_assert!(before.is_none_or(|before| before <= newest), "{} fell", member.host);
+                let current = (member.version, member.state);
+                let previous = last_seen.insert(member.host.to_string(), current);
+                prop_assert!(
+                    previous.is_none_or(|previous| previous <= current),
+                    "record of {} went back",
+                    member.host
+                );
             }
         }
-        prop_assert!(self.largest <= MAX_DATAGRAM, "datagram of {} bytes", self.largest);
+        prop_assert!(self.max_datagram <= MAX_DATAGRAM, "datagram of {} bytes", self.max_datagram);
         Ok(())
     }
 
-    pub fn all_alive_everywhere(&self) -> bool {
+    /// Returns whether every running daemon sees all running daemons as alive, and no others.
+    pub fn all_believe_all_alive(&self) -> bool {
         let count = self.nodes.len();
-        let whole = |view: FleetView| {
-            let alive = |member: &&MemberRecord| member.state == MemberState::Alive;
-            view.members.iter().filter(alive).count() == count
+        let sees_all_alive = |view: FleetView| {
+            let is_alive = |member: &&MemberRecord| member.state == MemberState::Alive;
+            view.members.iter().filter(is_alive).count() == count
         };
-        self.nodes.values().all(|node| whole(node.view()))
+        self.nodes.values().all(|node| sees_all_alive(node.view()))
     }
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -66,14 +66,14 @@
     fn an_evacuation_reaches_all_daemons(count in 3_usize..24, seed: u64, partitioned: bool) {
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
-        network.cut = partitioned.then_some(count / 2);
+        network.partition = partitioned.then_some(count / 2);
         network.step(address(count - 1), MembershipEvent::Evacuation(state(7, &["centre-1"])));
         network.run(3_000)?;
         let informed_nodes = |network: &FakeNetwork, version| {
             network.nodes.values().filter(|node| node.evacuation().version == version).count()
         };
         prop_assert_eq!(informed_nodes(&network, 7), if partitioned { count - count / 2 } else { count });
-        network.cut = None;
+        network.partition = None;
         network.run(20_000)?;
         prop_assert_eq!(informed_nodes(&network, 7), count);
         network.start(count, 1_000);
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -68,7 +68,7 @@
 
     /// Starts daemons within 300 ms; each finds its target some time later.
     fn start_some(&mut self, indices: &[usize]) -> EventCost {
-        let (from, crossing) = (self.network.now_ms, self.network.crossing);
+        let (from, crossing) = (self.network.now_ms, self.network.remote_bytes);
         let mut order = indices.to_vec();
         order.shuffle(&mut self.network.rng);
         for (turn, &index) in order.iter().enumerate() {
@@ -91,7 +91,7 @@
         let known_ms = self.until(from, |fleet| {
             fleet.all_know(|record| record.is_up() && is_ready(record), indices)
         });
-        EventCost { known_ms, crossing: self.network.crossing - crossing }
+        EventCost { known_ms, crossing: self.network.remote_bytes - crossing }
     }
 
     /// Learns some rows from the store and all from a few peers.
@@ -145,14 +145,14 @@
     /// Puts a revision in force at some daemons, as those that follow the store do;
     /// returns how long until it is in force everywhere, and what crossed.
     fn publish(&mut self, revision: u64, followers: &[usize]) -> EventCost {
-        let (from, crossing) = (self.network.now_ms, self.network.crossing);
+        let (from, crossing) = (self.network.now_ms, self.network.remote_bytes);
         for &index in followers {
             let targets = advertised(index, true);
             self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own().revision == revision;
         let known_ms = self.until(from, |fleet| fleet.network.nodes.values().all(in_force));
-        EventCost { known_ms, crossing: self.network.crossing - crossing }
+        EventCost { known_ms, crossing: self.network.remote_bytes - crossing }
     }
 
     /// Does something and measures until all know it.
@@ -162,10 +162,10 @@
         so: impl Fn(&MemberRecord) -> bool + Copy,
         of: &[usize],
     ) -> EventCost {
-        let (from, crossing) = (self.network.now_ms, self.network.crossing);
+        let (from, crossing) = (self.network.now_ms, self.network.remote_bytes);
         act(self);
         let known_ms = self.until(from, |fleet| fleet.all_know(so, of));
-        EventCost { known_ms, crossing: self.network.crossing - crossing }
+        EventCost { known_ms, crossing: self.network.remote_bytes - crossing }
     }
 }
 
@@ -190,9 +190,9 @@
 
 fn measure(size: usize, seed: u64) -> SizeFigures {
     let (mut fleet, start) = LargeFleet::start(size, seed);
-    let before = fleet.network.crossing;
+    let before = fleet.network.remote_bytes;
     fleet.pass(30_000);
-    let calm = (fleet.network.crossing - before) / 30 / size as u64;
+    let calm = (fleet.network.remote_bytes - before) / 30 / size as u64;
     let revision = fleet.publish(2, &[0, 3]);
     let drain = fleet.event(|fleet| fleet.tell_target(7, false), |record| !is_ready(record), &[7]);
     fleet.pass(20_000);
@@ -228,9 +228,9 @@
     let (mut fleet, start) = LargeFleet::start(295, 1);
     assert!(start.known_ms <= 10_000, "{start:?}");
     assert!(start.crossing <= 6_000_000, "{start:?}");
-    let before = fleet.network.crossing;
+    let before = fleet.network.remote_bytes;
     fleet.pass(10_000);
-    let calm = (fleet.network.crossing - before) / 10 / 295;
+    let calm = (fleet.network.remote_bytes - before) / 10 / 295;
     assert!(calm <= 600, "{calm} B a second of each daemon");
 }
 
@@ -329,13 +329,13 @@
 fn the_bytes_of_a_change_that_cross_do_not_grow_with_the_fleet() {
     let (mut fleet, _) = LargeFleet::start(295, 1);
     fleet.pass(30_000);
-    let calm = fleet.network.crossing;
+    let calm = fleet.network.remote_bytes;
     fleet.pass(10_000);
-    let calm = fleet.network.crossing - calm;
-    let before = fleet.network.crossing;
+    let calm = fleet.network.remote_bytes - calm;
+    let before = fleet.network.remote_bytes;
     fleet.tell_target(7, false);
     fleet.pass(10_000);
-    let told = (fleet.network.crossing - before).saturating_sub(calm);
+    let told = (fleet.network.remote_bytes - before).saturating_sub(calm);
     assert!(fleet.all_know(|record| !is_ready(record), &[7]));
     let record_bytes = 110;
     assert!(told <= 295 / 2 * record_bytes, "{told} B crossed for one change");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Gossip under loss, delay, repeats, kills and partitions.
+//! Membership under lost, delayed and repeated datagrams, killed daemons and partitions.
 
 #[path = "common/fake_network.rs"]
 mod fake_network;
@@ -19,39 +19,39 @@
     #![proptest_config(seeded(12))]
 
     #[test]
-    fn all_meet_and_stay_together_despite_loss(count in 2_usize..24, seed: u64, loss in 0.0_f64..0.15) {
+    fn all_daemons_know_each_other_despite_lost_datagrams(count in 2_usize..24, seed: u64, loss in 0.0_f64..0.15) {
         let mut network = FakeNetwork::open(count, seed, loss);
         network.run(20_000)?;
-        network.calm();
+        network.make_reliable();
         network.run(30_000)?;
-        prop_assert!(network.all_alive_everywhere());
+        prop_assert!(network.all_believe_all_alive());
     }
 
     #[test]
-    fn the_killed_are_found_out_and_the_restarted_are_back(count in 4_usize..16, seed: u64, victim in 0_usize..4) {
+    fn a_killed_daemon_is_declared_dead_and_is_alive_after_its_restart(count in 4_usize..16, seed: u64, killed in 0_usize..4) {
         let mut network = FakeNetwork::open(count, seed, 0.02);
         network.run(15_000)?;
-        network.nodes.remove(&address(victim));
+        network.nodes.remove(&address(killed));
         network.run(30_000)?;
-        let host = format!("host-{victim}");
+        let host = format!("host-{killed}");
         for node in network.nodes.values() {
             let view = node.view();
             let state = view.members.iter().find(|member| member.host.as_str() == host);
             prop_assert!(state.is_some_and(|member| member.state == MemberState::Dead));
         }
-        network.calm();
-        network.start(victim, 1_000);
+        network.make_reliable();
+        network.start(killed, 1_000);
         network.run(30_000)?;
-        prop_assert!(network.all_alive_everywhere());
+        prop_assert!(network.all_believe_all_alive());
         for node in network.nodes.values() {
             let view = node.view();
-            let back = view.members.iter().find(|member| member.host.as_str() == host);
-            prop_assert_eq!(back.map(|member| member.incarnation), Some(DaemonIncarnation(1_000)));
+            let restarted = view.members.iter().find(|member| member.host.as_str() == host);
+            prop_assert_eq!(restarted.map(|member| member.incarnation), Some(DaemonIncarnation(1_000)));
         }
     }
 
     #[test]
-    fn a_target_that_leaves_is_known_everywhere(count in 3_usize..24, seed: u64) {
+    fn all_daemons_learn_that_a_target_is_no_longer_ready(count in 3_usize..24, seed: u64) {
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
         let advertised = |ready| vec![AdvertisedTarget { service: "s".into(), name: "t".into(), slots: 4, ready }];
@@ -71,30 +71,30 @@
     #![proptest_config(seeded(4))]
 
     #[test]
-    fn regions_that_parted_for_an_hour_meet_again(count in 4_usize..8, seed: u64) {
+    fn regions_find_each_other_after_a_partition_of_an_hour(count in 4_usize..8, seed: u64) {
         let mut network = FakeNetwork::open(count, seed, 0.0);
         network.run(10_000)?;
-        network.cut = Some(count / 2);
+        network.partition = Some(count / 2);
         network.run(3_600_000)?;
-        network.cut = None;
-        network.calm();
+        network.partition = None;
+        network.make_reliable();
         network.run(60_000)?;
-        prop_assert!(network.all_alive_everywhere());
+        prop_assert!(network.all_believe_all_alive());
     }
 }
 
-/// A refutation that was spread to its limit is made again for who missed it.
+/// A refutation that is no longer spread is sent again to a daemon that missed it.
 #[test]
-fn who_missed_a_refutation_gets_it_again() {
+fn a_daemon_that_missed_a_refutation_gets_it_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut state = MembershipState::open(record(0, 1));
     let mut out = Vec::new();
-    let mut believed = record(0, 1);
-    believed.version = 4;
-    believed.state = MemberState::Suspect;
+    let mut wrong_record = record(0, 1);
+    wrong_record.version = 4;
+    wrong_record.state = MemberState::Suspect;
     state.step(
         MicroTime(0),
-        MembershipEvent::RecordsReceived(vec![believed.clone()]),
+        MembershipEvent::RecordsReceived(vec![wrong_record.clone()]),
         &mut rng,
         &mut out,
     );
@@ -117,8 +117,13 @@
         state.step(MicroTime(0), ping(number), &mut rng, &mut out);
     }
     assert_eq!(state.updates_left(), 0);
-    believed.state = MemberState::Dead;
-    state.step(MicroTime(0), MembershipEvent::RecordsReceived(vec![believed]), &mut rng, &mut out);
+    wrong_record.state = MemberState::Dead;
+    state.step(
+        MicroTime(0),
+        MembershipEvent::RecordsReceived(vec![wrong_record]),
+        &mut rng,
+        &mut out,
+    );
     out.clear();
     state.step(MicroTime(0), ping(99), &mut rng, &mut out);
     let MembershipAction::Send { message, .. } = &out[0] else { panic!("{out:?}") };
--- a/tests/suspects_at_size.rs
+++ b/tests/suspects_at_size.rs
@@ -182,9 +182,9 @@
 #[test_case(295; "295 hosts")]
 fn a_part_that_comes_back_hears_at_once_what_is_blamed(size: usize) {
     let mut play = DeadlyPlay::start(size, 9);
-    play.network.cut = Some(size / 3);
+    play.network.partition = Some(size / 3);
     play.send_for(6_000, 400, size / 3..size);
-    play.network.cut = None;
+    play.network.partition = None;
     play.pass(STABILITY_MS);
     let unknowing = (0..size).filter(|index| !play.standing(*index).is_blamed()).count();
     assert_eq!(unknowing, 0, "daemons that don't know");
@@ -224,9 +224,9 @@
                 0 => play.lose_power(),
                 1 => {
                     // A part that is cut off is not in touch: its copies don't count.
-                    play.network.cut = Some(4);
+                    play.network.partition = Some(4);
                     play.send_for(2_000, every_ms, 4..13);
-                    play.network.cut = None;
+                    play.network.partition = None;
                     play.pass(STABILITY_MS);
                 }
                 2 => play.pass(every_ms),
