--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that the fleet doubts get no calls while others can take them.
+//! Suspect hosts get no calls while other hosts can take them.
 
 #[path = "common/fake_network.rs"]
 mod fake_network;
@@ -15,19 +15,22 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+/// Number of data centres.
 const CENTRES: usize = 5;
+/// Number of daemons.
 const DAEMONS: usize = 95;
 const SERVICE: &str = "grillas";
 
-/// Time in which the fleet gets to know itself before the loss.
+/// Time before the failure, in which all daemons get to know each other.
 const SETTLE_MS: u64 = 10_000;
 
-/// Time after the loss that is played; after it all the lost are known to be dead.
-const PLAYED_MS: u64 = 8_000;
+/// Simulated time after the failure; at its end all failed hosts are known to be dead.
+const SIMULATED_MS: u64 = 8_000;
 
-/// Time between two calls that one daemon takes.
-const CALL_EVERY_MS: u64 = 100;
+/// Time between two calls at one entry.
+const CALL_INTERVAL_MS: u64 = 100;
 
+/// Returns the member record of a daemon with one target.
 fn own_record(index: usize) -> MemberRecord {
     let mut own = record(index, 1);
     own.data_centre = format!("centre-{}", index % CENTRES).as_str().into();
@@ -36,7 +39,7 @@
     own
 }
 
-/// A fleet that knows itself, in virtual time; a twentieth of datagrams is lost.
+/// Simulates a fleet whose daemons know each other; a twentieth of the datagrams is lost.
 fn settled_fleet() -> FakeNetwork {
     let mut network = FakeNetwork::open_large(CENTRES, 11, 0.05);
     let all: Vec<MemberRecord> = (0..DAEMONS).map(own_record).collect();
@@ -48,29 +51,29 @@
     network
 }
 
-/// What one entry makes of the fleet; it hears of targets by its own calls alone.
+/// An entry that gets load reports only with the answers to its own calls.
 #[derive(Default)]
-struct PlayedEntry {
+struct SimulatedEntry {
     registry: TargetRegistry,
     sequence: u64,
 }
 
-impl PlayedEntry {
-    /// Makes one call; returns the host if it went to a lost one.
+impl SimulatedEntry {
+    /// Makes one call; returns the host if the call went to a failed one.
     fn call(
         &mut self,
         now: MicroTime,
-        lost: &HashSet<String>,
+        failed: &HashSet<String>,
         rng: &mut Pcg64Mcg,
     ) -> Option<HostName> {
         let policy = policy(BENEFIT_POLICY).expect("policy");
         let targets = self.registry.services.get_mut(&SERVICE.into()).expect("targets");
         let index = targets.choose(now, policy, &[], rng).expect("a target");
         let record = &mut targets.targets[index];
-        if lost.contains(&record.name.to_string()) {
+        if failed.contains(&record.name.to_string()) {
             record.finish(now, None, false);
             record.eject(now);
-            return record.location.as_ref().map(|place| place.host.clone());
+            return record.location.as_ref().map(|location| location.host.clone());
         }
         self.sequence += 1;
         let load = LoadReport {
@@ -86,85 +89,89 @@
     }
 }
 
-/// Loses half of the hosts and returns the calls that went to them, and all calls.
-fn calls_to_lost_hosts(heeds_doubt: bool, tells: bool) -> (u32, u32) {
+/// Lets half of the hosts fail; returns the number of calls that went to them and of all calls.
+///
+/// `uses_suspicion` tells whether entries avoid suspect hosts, and `reports_unreached` whether
+/// they report hosts that a call could not reach, so that these are probed at once.
+fn calls_to_failed_hosts(uses_suspicion: bool, reports_unreached: bool) -> (u32, u32) {
     let mut network = settled_fleet();
-    let lost: HashSet<String> = (0..DAEMONS)
+    let failed: HashSet<String> = (0..DAEMONS)
         .filter(|index| index % 2 == 0)
         .map(|index| format!("target-{index}"))
         .collect();
     for index in (0..DAEMONS).filter(|index| index % 2 == 0) {
         network.nodes.remove(&address(index));
     }
-    let mut entries: HashMap<SocketAddr, PlayedEntry> = HashMap::new();
+    let mut entries: HashMap<SocketAddr, SimulatedEntry> = HashMap::new();
     let mut rng = Pcg64Mcg::seed_from_u64(11);
-    let (mut to_lost, mut calls) = (0, 0);
-    for _ in 0..PLAYED_MS / CALL_EVERY_MS {
-        network.run(CALL_EVERY_MS).expect("nothing is checked");
+    let (mut to_failed, mut calls) = (0, 0);
+    for _ in 0..SIMULATED_MS / CALL_INTERVAL_MS {
+        network.run(CALL_INTERVAL_MS).expect("nothing is checked");
         let now = MicroTime::from_millis(network.now_ms);
         let mut unreached: Vec<(SocketAddr, HostName)> = Vec::new();
         for (at, node) in &network.nodes {
             let entry = entries.entry(*at).or_default();
             let none = std::collections::BTreeSet::new();
             entry.registry.update(now, &node.view(), &node.own().data_centre, &none);
-            if !heeds_doubt {
+            if !uses_suspicion {
                 let targets = entry.registry.services.values_mut();
                 targets
                     .flat_map(|service| &mut service.targets)
                     .for_each(|target| target.suspect = false);
             }
             calls += 1;
-            if let Some(host) = entry.call(now, &lost, &mut rng) {
-                to_lost += 1;
+            if let Some(host) = entry.call(now, &failed, &mut rng) {
+                to_failed += 1;
                 unreached.push((*at, host));
             }
         }
-        for (at, host) in unreached.into_iter().filter(|_| tells) {
+        for (at, host) in unreached.into_iter().filter(|_| reports_unreached) {
             network.step(at, MembershipEvent::MemberUnreachable(host));
         }
     }
-    (to_lost, calls)
+    (to_failed, calls)
 }
 
-/// Half of the hosts are lost at once: 1,291 of 3,760 calls went to them before doubt was
-/// heeded, 769 since; half of all calls do until the first hosts are doubted.
+/// Half of the hosts fail at once: 1,291 of 3,760 calls went to them without using suspicion, 769
+/// with it. Until the first hosts are suspect, half of all calls go to failed hosts.
 #[test]
-fn fewer_calls_go_to_lost_hosts_where_doubt_is_heeded() {
-    let (with, calls) = calls_to_lost_hosts(true, false);
-    let (without, _) = calls_to_lost_hosts(false, false);
-    assert!(with * 3 < without * 2, "{with} of {calls} calls, {without} without");
+fn fewer_calls_go_to_failed_hosts_if_suspicion_is_used() {
+    let (with, calls) = calls_to_failed_hosts(true, false);
+    let (without, _) = calls_to_failed_hosts(false, false);
+    assert!(with * 3 < without * 2, "{with} of {calls} calls, {without} without suspicion");
 }
 
-/// Calls of 3,760 that went to lost hosts where these were probed in turn alone, and what
-/// was heard of them was not passed on at once.
+/// Number of 3,760 calls that went to failed hosts when these were only probed in turn and their
+/// suspicion was not passed on at once.
 const PROBED_IN_TURN: u32 = 769;
 
-/// Hosts that calls did not reach are probed at once: three fifths of the calls go to lost
-/// hosts that did where they were probed in turn, and fewer than without that.
+/// Hosts that a call could not reach are probed at once. Fewer than three fifths as many calls go to
+/// failed hosts as with probes in turn, and fewer than without these reports.
 #[test]
-fn fewer_calls_go_to_lost_hosts_that_are_probed_at_once() {
-    let (with, calls) = calls_to_lost_hosts(true, true);
-    let (without, _) = calls_to_lost_hosts(true, false);
+fn fewer_calls_go_to_failed_hosts_that_are_probed_at_once() {
+    let (with, calls) = calls_to_failed_hosts(true, true);
+    let (without, _) = calls_to_failed_hosts(true, false);
     assert!(
         with * 5 < PROBED_IN_TURN * 3 && with < without,
-        "{with} of {calls} calls, {without} without"
+        "{with} of {calls} calls, {without} without reports"
     );
 }
 
 const NOW: MicroTime = MicroTime::from_millis(60_000);
 
-fn target(name: &str, doubted: bool, heard_ago_ms: u64) -> TargetRecord {
+/// Returns the record of a target whose latest report was made `report_age_ms` before [`NOW`].
+fn target(name: &str, suspect: bool, report_age_ms: u64) -> TargetRecord {
     let mut record = TargetRecord::new(name.into(), None, 9, MicroTime(0));
-    let heard = MicroTime(NOW.0 - heard_ago_ms * 1_000);
+    let reported_at = MicroTime(NOW.0 - report_age_ms * 1_000);
     record.record_report(
-        heard,
-        LoadReport { slots: 9, sequence: 1, reported_at: heard, ..LoadReport::default() },
+        reported_at,
+        LoadReport { slots: 9, sequence: 1, reported_at, ..LoadReport::default() },
     );
-    record.suspect = doubted;
+    record.suspect = suspect;
     record
 }
 
-/// Returns the targets that a hundred calls go to.
+/// Returns the names of the targets that a hundred calls go to.
 fn chosen(records: Vec<TargetRecord>) -> HashSet<String> {
     let mut targets = ServiceTargets::new(records);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -179,19 +186,19 @@
 }
 
 #[test]
-fn a_doubted_target_that_nothing_was_heard_of_is_left_alone() {
-    let both = chosen(vec![target("sound", false, 2_000), target("doubted", true, 2_000)]);
-    assert_eq!(both, HashSet::from(["sound".to_owned()]));
+fn a_suspect_target_without_a_recent_report_is_not_chosen() {
+    let used = chosen(vec![target("alive", false, 2_000), target("suspect", true, 2_000)]);
+    assert_eq!(used, HashSet::from(["alive".to_owned()]));
 }
 
-/// What an entry hears itself counts for more than what the fleet says.
+/// A recent report to the entry itself counts for more than the suspicion of the fleet.
 #[test]
-fn a_doubted_target_that_was_heard_of_lately_is_used() {
-    let both = chosen(vec![target("sound", false, 100), target("doubted", true, 100)]);
-    assert_eq!(both.len(), 2);
+fn a_suspect_target_with_a_recent_report_is_chosen() {
+    let used = chosen(vec![target("alive", false, 100), target("suspect", true, 100)]);
+    assert_eq!(used.len(), 2);
 }
 
 #[test]
-fn doubted_targets_are_used_where_there_are_no_others() {
-    assert_eq!(chosen(vec![target("doubted", true, 2_000)]).len(), 1);
+fn suspect_targets_are_chosen_if_there_are_no_others() {
+    assert_eq!(chosen(vec![target("suspect", true, 2_000)]).len(), 1);
 }
