--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -148,7 +148,7 @@
                     self.send(at, to, &MembershipEvent::Message { from: at, message });
                 }
                 MembershipAction::Sync { peer } if !self.is_separated(at, peer) => {
-                    self.sync(at, peer)
+                    self.sync(at, peer);
                 }
                 MembershipAction::FetchRevision { peer } => self.fetch_revision(at, peer),
                 _ => {}
