--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// A target that no longer slows down, such as one whose host lost its other workloads, gets all its
+/// A target that no longer slows down, such as one whose neighbours left its host, gets all its
 /// slots back.
 #[test]
 fn rejected_limits_are_tried_again() {
