--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -52,6 +52,8 @@
 proptest! {
     #![proptest_config(seeded(300))]
 
+    /// No call starts after its deadline, above the limit or while the target leaves, and calls wait
+    /// only while the limit is reached.
     #[test]
     fn every_call_is_started_or_refused_once(slots in 1_u16..6, steps in proptest::collection::vec(step(), 1..200)) {
         let mut queue = AdmissionQueue::open(slots);
@@ -113,11 +115,11 @@
     #[test]
     fn calls_of_the_lowest_priority_are_refused_first(priorities in proptest::collection::vec((any::<bool>(), 1_u8..20), 5..60)) {
         let mut queue = AdmissionQueue::open(1);
-        let far = MicroTime(u64::MAX / 2);
+        let far_deadline = MicroTime(u64::MAX / 2);
         let mut waiting: HashMap<CallId, CallPriority> = HashMap::new();
         for (number, (urgent, worth)) in priorities.into_iter().enumerate() {
             let priority = CallPriority { urgent, worth };
-            let call = waiting_call(number as u128, 0, priority, far);
+            let call = waiting_call(number as u128, 0, priority, far_deadline);
             waiting.insert(call.call, priority);
             let mut out = Vec::new();
             queue.step(MicroTime(0), AdmissionEvent::Arrive(call), &mut out);
@@ -139,14 +141,14 @@
     #[test]
     fn a_burst_of_one_account_leaves_another_its_share(burst in 20_usize..60, slots in 2_u16..8) {
         let mut queue = AdmissionQueue::open(slots);
-        let far = MicroTime(u64::MAX / 2);
+        let far_deadline = MicroTime(u64::MAX / 2);
         let priority = CallPriority { urgent: false, worth: 1 };
         let mut running: Vec<CallId> = Vec::new();
         let mut quiet_started = 0;
-        let mut next = 0_u128;
+        let mut next_number = 0_u128;
         let mut offer = |queue: &mut AdmissionQueue, account, running: &mut Vec<CallId>, quiet_started: &mut usize| {
-            let call = waiting_call(next * 2 + u128::from(account), account, priority, far);
-            next += 1;
+            let call = waiting_call(next_number * 2 + u128::from(account), account, priority, far_deadline);
+            next_number += 1;
             let mut out = Vec::new();
             queue.step(MicroTime(0), AdmissionEvent::Arrive(call), &mut out);
             record_started(&out, running, quiet_started);
@@ -284,9 +286,12 @@
     };
     // Slow periods last about 150 ms here, and no call runs.
     let first_ms = retry_after(&mut queue, 0);
-    assert!((100..=200).contains(&first_ms), "{first_ms}");
+    assert!((100..=200).contains(&first_ms), "{first_ms} ms");
     let later_ms = retry_after(&mut queue, 60);
-    assert!(later_ms + 55 <= first_ms && later_ms >= 5, "{later_ms} of {first_ms}");
+    assert!(
+        later_ms + 55 <= first_ms && later_ms >= 5,
+        "{later_ms} ms later, {first_ms} ms at first"
+    );
 }
 
 #[test]
@@ -320,7 +325,8 @@
 fn most_calls_are_in_time_on_a_host_of_varying_speed(interval_ms: u64, min_fraction: f64) {
     const OBJECTIVE_MS: u64 = 600;
     let mut queue = AdmissionQueue::open(18);
-    let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
+    // End time, id and start time of the running calls.
+    let mut running: Vec<(u64, CallId, u64)> = Vec::new();
     let mut arrived: HashMap<CallId, u64> = HashMap::new();
     let (mut calls, mut in_time) = (0_u32, 0_u32);
     let mut percent = 100;
@@ -335,9 +341,9 @@
         if now_ms % 40 == 0 {
             queue.note_slowness(now, percent);
         }
-        ends.sort_unstable();
-        while ends.first().is_some_and(|(end, ..)| *end <= now_ms) {
-            let (_, call, started_ms) = ends.remove(0);
+        running.sort_unstable();
+        while running.first().is_some_and(|(end, ..)| *end <= now_ms) {
+            let (_, call, started_ms) = running.remove(0);
             let took = Some(MicroTime::from_millis(now_ms - started_ms));
             queue.step(now, AdmissionEvent::Finish { call, took, failed: false }, &mut out);
             in_time += u32::from(now_ms - arrived[&call] <= OBJECTIVE_MS);
@@ -358,7 +364,7 @@
         queue.step(now, AdmissionEvent::Tick, &mut out);
         for action in out {
             if let AdmissionAction::Start(call) = action {
-                ends.push((now_ms + 200 * u64::from(percent) / 100, call, now_ms));
+                running.push((now_ms + 200 * u64::from(percent) / 100, call, now_ms));
             }
         }
     }
--- a/tests/call_ledger.rs
+++ b/tests/call_ledger.rs
@@ -127,6 +127,7 @@
     rng: Pcg64Mcg,
     /// Version and content of the row, if there is one.
     row: Option<(u64, ClaimRow)>,
+    /// Last version that the table assigned.
     version: u64,
     guards: Vec<FakeGuard>,
     in_transit: Vec<ClaimInTransit>,
@@ -135,7 +136,9 @@
     runs: Vec<CallId>,
     /// Calls that were reported as not run.
     reported_not_run: Vec<CallId>,
+    /// Whether guards crash.
     crashes: bool,
+    /// Description of the steps so far, for the messages of failed assertions.
     history: Vec<String>,
 }
 
@@ -161,6 +164,7 @@
         }
     }
 
+    /// Makes a random step.
     fn step(&mut self) {
         match self.rng.random_range(0..12) {
             0 | 1 => self.arrive(0),
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -256,7 +256,8 @@
     queue.cold_start_mut().set_max_rate(max_rate);
     queue.cold_start_mut().note_health_answer(MicroTime(0), MicroTime::from_millis(COLD_MS));
     let mut counts = CallCounts::default();
-    let mut ends: Vec<(u64, CallId, u64)> = Vec::new();
+    // End time, id and start time of the running calls.
+    let mut running: Vec<(u64, CallId, u64)> = Vec::new();
     let mut arrived: Vec<u64> = Vec::new();
     for now_ms in 0..6_000_u64 {
         let now = MicroTime::from_millis(now_ms);
@@ -265,7 +266,7 @@
             let left = MicroTime::from_millis(target.cold_until.saturating_sub(now_ms));
             queue.cold_start_mut().note_health_answer(now, left);
         }
-        ends.retain(|(end, call, started_ms)| {
+        running.retain(|(end, call, started_ms)| {
             let over = *end <= now_ms;
             if over {
                 let took = Some(MicroTime::from_millis(now_ms - started_ms));
@@ -294,7 +295,7 @@
             match action {
                 AdmissionAction::Start(call) => {
                     if let Some(took) = target.receive(now_ms) {
-                        ends.push((now_ms + took, call, now_ms));
+                        running.push((now_ms + took, call, now_ms));
                     } else {
                         counts.lost += 1;
                         let event = AdmissionEvent::Finish { call, took: None, failed: true };
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -69,19 +69,19 @@
         network.partition = partitioned.then_some(count / 2);
         network.step(address(count - 1), MembershipEvent::Evacuation(state(7, &["centre-1"])));
         network.run(3_000)?;
-        let informed_nodes = |network: &FakeNetwork, version| {
+        let informed_count = |network: &FakeNetwork, version| {
             network.nodes.values().filter(|node| node.evacuation().version == version).count()
         };
-        prop_assert_eq!(informed_nodes(&network, 7), if partitioned { count - count / 2 } else { count });
+        prop_assert_eq!(informed_count(&network, 7), if partitioned { count - count / 2 } else { count });
         network.partition = None;
         network.run(20_000)?;
-        prop_assert_eq!(informed_nodes(&network, 7), count);
+        prop_assert_eq!(informed_count(&network, 7), count);
         network.start(count, 1_000);
         network.run(3_000)?;
-        prop_assert_eq!(informed_nodes(&network, 7), count + 1);
+        prop_assert_eq!(informed_count(&network, 7), count + 1);
         network.step(address(0), MembershipEvent::Evacuation(state(9, &[])));
         network.run(3_000)?;
-        prop_assert_eq!(informed_nodes(&network, 9), count + 1);
+        prop_assert_eq!(informed_count(&network, 9), count + 1);
     }
 }
 
--- a/tests/host_speed.rs
+++ b/tests/host_speed.rs
@@ -42,7 +42,7 @@
     assert!((speed.expected_us(200_000.0) - 200_000.0).abs() < 1.0);
 }
 
-/// A target that has just started is slow for seconds, which is too long to wait for.
+/// A target that has just started is twice as slow for seconds: this is no slow period to wait for.
 #[test]
 fn no_work_waits_for_a_host_that_stays_slow() {
     let mut speed = HostSpeed::default();
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -88,9 +88,9 @@
 #[test]
 fn rejected_limits_are_tried_again() {
     let mut limit = ConcurrencyLimit::open(18);
-    let saturating = SaturatingTarget { slots: 18, slowdown_threshold: 0.6, slowdown_at_full: 3.0 };
-    let (_, limit_before) = saturating.simulate(&mut limit, 30.0, 1);
-    assert!(limit_before < 13.5, "{limit_before}");
+    let target = SaturatingTarget { slots: 18, slowdown_threshold: 0.6, slowdown_at_full: 3.0 };
+    let (_, limit_before) = target.simulate(&mut limit, 30.0, 1);
+    assert!(limit_before < 13.5, "mean limit {limit_before}");
     let mut now = MicroTime::from_millis(30_000);
     for _ in 0..8_000 {
         now = now + MicroTime::from_millis(12);
--- a/tests/store_followers.rs
+++ b/tests/store_followers.rs
@@ -39,8 +39,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// As many daemons as permitted follow the store. Suspect members and those that lost the
-    /// store are replaced, unless no daemon reaches it.
+    /// As many daemons as permitted follow the store, whichever daemon computes the selection.
+    /// Suspect members and those that lost the store are replaced, unless no daemon reaches it.
     #[test]
     fn as_many_daemons_as_permitted_follow_the_store(states in prop::collection::vec((0_u8..4, any::<bool>()), 1..200)) {
         let member_states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
