--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn bad_calls_are_told_so_and_do_not_run() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let good = fleet.post("k", "/bulletin?size=10");
+    let good = fleet.post_request("k", "/bulletin?size=10");
     let cases: [(&str, u16, CallRequest); 5] = [
         ("unknown token", 401, CallRequest { token: "guess".to_owned(), ..good.clone() }),
         ("unknown service", 404, CallRequest { service: "nowhere".to_owned(), ..good.clone() }),
@@ -39,7 +39,8 @@
 #[test]
 fn a_body_of_the_full_size_arrives_whole() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let call = CallRequest { body: vec![7; 1 << 20], ..fleet.post("k", "/bulletin?size=10") };
+    let call =
+        CallRequest { body: vec![7; 1 << 20], ..fleet.post_request("k", "/bulletin?size=10") };
     assert_eq!(fleet.call(0, &call).verdict, Verdict::Complete);
 }
 
@@ -52,13 +53,16 @@
         behaviour.shed_above = Some(0);
     });
     common::eventually("the guard heard of the slots", || {
-        let state = fleet.state(fleet.place(0).admin);
+        let state = fleet.state(fleet.addresses(0).admin);
         state["guard"]["targets"][0]["announcement"]["slots"] == 8
     });
     let calls: Vec<_> = (0..8)
-        .map(|number| fleet.start(0, fleet.read(&format!("/shed/{number}?size=10&us=300000"))))
+        .map(|number| {
+            fleet.start_call(0, fleet.get_request(&format!("/shed/{number}?size=10&us=300000")))
+        })
         .collect();
-    let verdicts: Vec<Verdict> = calls.into_iter().map(|call| fleet.join(call).verdict).collect();
+    let verdicts: Vec<Verdict> =
+        calls.into_iter().map(|call| fleet.join_call(call).verdict).collect();
     let answered = |verdict: &&Verdict| matches!(verdict, Verdict::Complete | Verdict::TargetError);
     assert_eq!(verdicts.iter().filter(answered).count(), 8, "{verdicts:?}");
     assert!(verdicts.contains(&Verdict::TargetError), "{verdicts:?}");
@@ -75,7 +79,7 @@
          idempotency-key: k\r\ncontent-length: {length}\r\n\r\n",
         fleet.plan.service
     );
-    let mut socket = TcpStream::connect(fleet.place(0).caller).expect("connected");
+    let mut socket = TcpStream::connect(fleet.addresses(0).caller).expect("connected");
     socket.write_all(head.as_bytes()).expect("head written");
     let part = vec![7; WRITTEN_AT_ONCE];
     for _ in 0..length / WRITTEN_AT_ONCE {
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -75,7 +75,7 @@
 #[test]
 fn operators_see_and_change_a_running_fleet() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
-    let admin = fleet.place(0).admin.to_string();
+    let admin = fleet.addresses(0).admin.to_string();
     let platform = fleet.platform.address().to_string();
     let publish = ["publish", "--platform", &platform, "--daemon", &admin, "--base"];
 
@@ -138,7 +138,7 @@
 #[test]
 fn a_status_without_all_answers_says_so_and_ends() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 3, ..FleetPlan::default() });
-    let admin = fleet.place(0).admin.to_string();
+    let admin = fleet.addresses(0).admin.to_string();
     fleet.daemons[2].freeze().expect("freeze");
     let status = railspan(&["status", "--daemon", &admin]);
     fleet.daemons[2].thaw().expect("thaw");
--- a/tests/common/hosted.rs
+++ b/tests/common/hosted.rs
@@ -1,5 +1,5 @@
-//! A small deployment for tests: daemons with the platform's adapter, a target
-//! beside each, and the store's stand-in.
+//! A small fleet on the users' platform for tests: daemons as processes that use the
+//! platform's adapter, one target per daemon, and the stand-in for the store.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,16 +12,22 @@
 };
 use serde_json::{Value, json};
 
-use super::{any, eventually};
+use super::{ephemeral_address, eventually};
 
 pub const SERVICE: &str = "grillas";
-pub const HOST: &str = "grillas.example";
-pub const SAFE: &str = "/read/";
-pub const UNSAFE: &str = "/write/";
+/// The `Host` header that the routes are for.
+pub const VIRTUAL_HOST: &str = "grillas.example";
 
-/// Terms of the deployment, in the platform's words.
+/// Path prefix of the route whose calls may be repeated.
+pub const SAFE_PREFIX: &str = "/read/";
+
+/// Path prefix of the route whose calls must not run twice.
+pub const UNSAFE_PREFIX: &str = "/write/";
+
+/// Deployment terms, in the form in which the platform states them.
 pub const TERMS: &str = "heartbeat=500ms,retry_budget_ratio=0.2,budget_slack=58,grace=6s";
 
+/// A running fleet whose daemon and target at the same index share a host.
 pub struct HostedFleet {
     pub daemons: Vec<DaemonProcess>,
     pub targets: Vec<HostedTarget>,
@@ -30,42 +36,45 @@
 }
 
 impl HostedFleet {
-    /// Starts daemons and targets, and waits until each daemon serves all.
-    pub fn spawn(hosts: usize, work: Duration) -> Self {
-        Self::spawn_on(hosts, work, TERMS)
+    /// Starts a daemon and a target per host, and waits until each daemon is ready and
+    /// knows all targets, which take `service_time` for each request.
+    pub fn spawn(hosts: usize, service_time: Duration) -> Self {
+        Self::spawn_with_terms(hosts, service_time, TERMS)
     }
 
-    /// Starts a fleet on other terms of the deployment.
-    pub fn spawn_on(hosts: usize, work: Duration, terms: &str) -> Self {
-        let platform = PlatformStandin::spawn(any(), PlatformLimits::default()).expect("platform");
-        platform.write_config(&config(7, SERVICE));
+    /// Starts a fleet as [`Self::spawn`] does, with other deployment terms.
+    pub fn spawn_with_terms(hosts: usize, service_time: Duration, terms: &str) -> Self {
+        let platform = PlatformStandin::spawn(ephemeral_address(), PlatformLimits::default())
+            .expect("platform");
+        platform.write_config(&platform_config(7, SERVICE));
         let terms = terms.to_owned();
         let mut fleet = Self { daemons: Vec::new(), targets: Vec::new(), platform, terms };
         for index in 0..hosts {
             let daemon = fleet.start_daemon(index);
             let name = format!("i-{index}");
-            let target = HostedTarget::spawn(SERVICE, &name, work).expect("target");
+            let target = HostedTarget::spawn(SERVICE, &name, service_time).expect("target");
             target.report_to(daemon.place().control.expect("control"));
             fleet.daemons.push(daemon);
             fleet.targets.push(target);
         }
         for index in 0..hosts {
-            fleet.wait_known(index, hosts);
+            fleet.wait_for_targets(index, hosts);
         }
         fleet
     }
 
+    /// Starts a daemon without a target; the daemon is killed when the result is dropped.
     pub fn start_daemon(&self, index: usize) -> DaemonProcess {
         DaemonProcess::spawn(&self.daemon_spec(index)).expect("daemon")
     }
 
-    /// Starts a daemon at the addresses that an earlier life of it had.
+    /// Starts a daemon at the addresses of an earlier one, as its next incarnation.
     pub fn start_daemon_at(&self, index: usize, place: &DaemonPlace) -> DaemonProcess {
         DaemonProcess::spawn_at(&self.daemon_spec(index), place).expect("daemon")
     }
 
-    /// Starts a daemon whose settings name its target's address.
-    pub fn start_daemon_beside(&self, index: usize, target: SocketAddr) -> DaemonProcess {
+    /// Starts a daemon whose settings contain its target's address.
+    pub fn start_daemon_with_target(&self, index: usize, target: SocketAddr) -> DaemonProcess {
         let mut spec = self.daemon_spec(index);
         if let Some(deployment) = &mut spec.deployment {
             deployment["target_address"] = json!(target);
@@ -73,8 +82,8 @@
         DaemonProcess::spawn(&spec).expect("daemon")
     }
 
-    /// Starts a daemon that others reach at other addresses than its own.
-    pub fn start_daemon_behind(
+    /// Starts a daemon that advertises other guard and peer addresses than it binds.
+    pub fn start_daemon_advertising(
         &self,
         index: usize,
         guard: SocketAddr,
@@ -85,8 +94,8 @@
         DaemonProcess::spawn(&spec).expect("daemon")
     }
 
-    /// Returns the slowness that an entry was told of a target, in percent.
-    pub fn told_slowness(&self, index: usize, name: &str) -> Option<u64> {
+    /// Returns the slowness in an entry's latest load report of a target, in percent.
+    pub fn reported_slowness(&self, index: usize, name: &str) -> Option<u64> {
         let state = self.state(index);
         let targets = state["entry"]["services"][SERVICE]["targets"].as_array()?;
         let target = targets.iter().find(|target| target["name"] == name)?;
@@ -104,87 +113,95 @@
             seeds: Vec::new(),
             stop_bound_ms: 5_000,
             seed: index as u64,
-            deployment: Some(deployment(&self.terms)),
+            deployment: Some(deployment_settings(&self.terms)),
         }
     }
 
+    /// Returns the address to which a daemon's target reports.
     pub fn control(&self, index: usize) -> SocketAddr {
         self.daemons[index].place().control.expect("control")
     }
 
-    pub fn ready(&self, index: usize) -> u16 {
+    /// Returns the status of a daemon's readiness check, or 0 if it can't be reached.
+    pub fn readiness_status(&self, index: usize) -> u16 {
         let address = self.daemons[index].place().ready.expect("ready");
         hosted_call(address, "GET", "/readiness", &[], b"").map_or(0, |answer| answer.status)
     }
 
+    /// Returns a daemon's state page, or null if it can't be read.
     pub fn state(&self, index: usize) -> Value {
         let admin = self.daemons[index].place().admin;
         let page = hosted_call(admin, "GET", "/state", &[], b"");
         page.ok().and_then(|page| serde_json::from_slice(&page.body).ok()).unwrap_or_default()
     }
 
-    /// Waits until a daemon is ready and knows so many targets.
-    pub fn wait_known(&self, index: usize, count: usize) {
+    /// Waits until a daemon is ready and knows exactly `count` targets.
+    pub fn wait_for_targets(&self, index: usize, count: usize) {
         eventually("all targets known", || {
             let state = self.state(index);
             let targets =
                 state["entry"]["services"][SERVICE]["targets"].as_array().map_or(0, Vec::len);
-            targets == count && self.ready(index) == 200
+            targets == count && self.readiness_status(index) == 200
         });
     }
 
-    /// Makes a request through a daemon; `None` if it got no whole answer.
+    /// Makes a request with a deadline of 2 s through a daemon, to `prefix` followed by
+    /// `id`; `None` if it got no complete answer.
     pub fn call(&self, index: usize, prefix: &str, id: &str) -> Option<HostedAnswer> {
-        self.call_within(index, prefix, id, 2_000)
+        self.call_with_deadline(index, prefix, id, 2_000)
     }
 
-    pub fn call_within(
+    /// Makes a request as [`Self::call`] does, with another deadline. It carries forged
+    /// values of the headers by which the daemon tells a target its caller and its name.
+    pub fn call_with_deadline(
         &self,
         index: usize,
         prefix: &str,
         id: &str,
         deadline_ms: u32,
     ) -> Option<HostedAnswer> {
-        let method = if prefix == SAFE { "GET" } else { "POST" };
+        let method = if prefix == SAFE_PREFIX { "GET" } else { "POST" };
         let deadline = deadline_ms.to_string();
         let headers = [
-            ("Host", HOST),
+            ("Host", VIRTUAL_HOST),
             ("X-Request-Id", id),
             ("X-Deadline-Ms", &*deadline),
             ("X-Caller-Service", "forged"),
             ("X-Target-Instance", "forged"),
         ];
-        let body: &[u8] = if prefix == SAFE { b"" } else { b"some bytes" };
+        let body: &[u8] = if prefix == SAFE_PREFIX { b"" } else { b"some bytes" };
         let caller = self.daemons[index].place().caller;
         hosted_call(caller, method, &format!("{prefix}{id}"), &headers, body).ok()
     }
 
-    /// Returns how often a request ran, on all targets together.
-    pub fn runs(&self, id: &str) -> usize {
-        let has = |target: &HostedTarget| {
+    /// Returns how often a request reached a target that ran it, on all targets together.
+    pub fn run_count(&self, id: &str) -> usize {
+        let runs_on = |target: &HostedTarget| {
             let runs = target.runs();
             runs.iter()
-                .filter(|run| run.headers.get("x-request-id").is_some_and(|own| own == id))
+                .filter(|run| run.headers.get("x-request-id").is_some_and(|run_id| run_id == id))
                 .count()
         };
-        self.targets.iter().map(has).sum()
+        self.targets.iter().map(runs_on).sum()
     }
 }
 
-/// Path of a request that ends each target that runs it.
-pub const DEADLY: &str = "/read/deadly";
+/// Path of a request that crashes each target that runs it.
+pub const CRASHING_PATH: &str = "/read/deadly";
 
-/// Time until a target that ended is back.
-const BACK_AFTER: Duration = Duration::from_millis(400);
+/// Time between the crash of a target and the start of the next one on its host.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// A fleet with a request that ends targets, and new targets in their place.
-pub struct DeadlyFleet {
+/// A fleet in which a request to [`CRASHING_PATH`] crashes targets, and each crashed
+/// target is replaced by a new one.
+pub struct CrashingFleet {
     fleet: HostedFleet,
-    /// All targets that ever ran; the last ones of each host are up.
-    lives: Mutex<Vec<(usize, HostedTarget)>>,
+    /// All targets that were ever started, each with the index of its host, in the order
+    /// of their starts; only the last one of each host may be running.
+    started_targets: Mutex<Vec<(usize, HostedTarget)>>,
 }
 
-impl std::ops::Deref for DeadlyFleet {
+impl std::ops::Deref for CrashingFleet {
     type Target = HostedFleet;
 
     fn deref(&self) -> &HostedFleet {
@@ -192,63 +209,65 @@
     }
 }
 
-impl DeadlyFleet {
-    pub fn spawn(hosts: usize, work: Duration) -> Self {
-        let mut fleet = HostedFleet::spawn(hosts, work);
+impl CrashingFleet {
+    /// Starts a fleet as [`HostedFleet::spawn`] does.
+    pub fn spawn(hosts: usize, service_time: Duration) -> Self {
+        let mut fleet = HostedFleet::spawn(hosts, service_time);
         let targets = std::mem::take(&mut fleet.targets);
         for target in &targets {
-            target.end_on(DEADLY);
+            target.end_on(CRASHING_PATH);
         }
-        let lives = Mutex::new(targets.into_iter().enumerate().collect());
-        Self { fleet, lives }
+        let started_targets = Mutex::new(targets.into_iter().enumerate().collect());
+        Self { fleet, started_targets }
     }
 
-    /// Starts a new target on each host whose target ended, until told to stop.
-    pub fn revive(&self, stop: &AtomicBool) {
-        let mut seen = vec![None; self.daemons.len()];
+    /// Replaces crashed targets, [`RESTART_DELAY`] after the crash, until `stop` is set.
+    pub fn restart_crashed_targets(&self, stop: &AtomicBool) {
+        let mut crashed_since = vec![None; self.daemons.len()];
         while !stop.load(Ordering::Relaxed) {
-            for (host, since) in seen.iter_mut().enumerate() {
-                let mut lives = self.lives.lock().expect("lives");
-                let last = lives.iter().rev().find(|(own, _)| *own == host);
-                let ended = last.is_some_and(|(_, target)| target.has_crashed());
-                if !ended {
+            for (host, since) in crashed_since.iter_mut().enumerate() {
+                let mut started = self.started_targets.lock().expect("started targets");
+                let latest = started.iter().rev().find(|(target_host, _)| *target_host == host);
+                let crashed = latest.is_some_and(|(_, target)| target.has_crashed());
+                if !crashed {
                     *since = None;
-                } else if since.get_or_insert_with(Instant::now).elapsed() >= BACK_AFTER {
-                    let name = format!("i-{}", lives.len());
-                    let target = HostedTarget::spawn(SERVICE, &name, lives[0].1.work());
+                } else if since.get_or_insert_with(Instant::now).elapsed() >= RESTART_DELAY {
+                    let name = format!("i-{}", started.len());
+                    let target = HostedTarget::spawn(SERVICE, &name, started[0].1.work());
                     let target = target.expect("target");
-                    target.end_on(DEADLY);
-                    target.restart(lives.len() as u64);
+                    target.end_on(CRASHING_PATH);
+                    target.restart(started.len() as u64);
                     target.report_to(self.control(host));
-                    lives.push((host, target));
+                    started.push((host, target));
                 }
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Sends a copy of the request; its id is that of the attempt.
-    pub fn call_deadly(&self, host: usize, id: &str) -> Option<HostedAnswer> {
-        let headers = [("Host", HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000")];
-        hosted_call(self.daemons[host].place().caller, "GET", DEADLY, &headers, b"").ok()
+    /// Sends one copy of the crashing request through a daemon, with `id` as its request
+    /// id; `None` if it got no complete answer.
+    pub fn send_crashing_request(&self, host: usize, id: &str) -> Option<HostedAnswer> {
+        let headers = [("Host", VIRTUAL_HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000")];
+        hosted_call(self.daemons[host].place().caller, "GET", CRASHING_PATH, &headers, b"").ok()
     }
 
-    /// Returns when copies of the request began to run, in order.
-    pub fn deadly_arrivals(&self) -> Vec<Instant> {
-        let lives = self.lives.lock().expect("lives");
-        let runs = lives.iter().flat_map(|(_, target)| target.runs());
-        let deadly = runs.filter(|run| run.line.contains(DEADLY));
-        let mut times: Vec<Instant> = deadly.map(|run| run.at).collect();
+    /// Returns the times at which copies of the crashing request began to run, sorted.
+    pub fn crashing_run_times(&self) -> Vec<Instant> {
+        let started = self.started_targets.lock().expect("started targets");
+        let runs = started.iter().flat_map(|(_, target)| target.runs());
+        let crashing_runs = runs.filter(|run| run.line.contains(CRASHING_PATH));
+        let mut times: Vec<Instant> = crashing_runs.map(|run| run.at).collect();
         times.sort_unstable();
         times
     }
 
-    /// Returns how many requests an entry holds back.
-    pub fn blamed(&self, host: usize) -> usize {
+    /// Returns the number of blamed requests that an entry knows.
+    pub fn blamed_count(&self, host: usize) -> usize {
         self.state(host)["entry"]["blamed"].as_array().map_or(0, Vec::len)
     }
 
-    /// Kills all daemons and starts them again where they were.
+    /// Kills all daemons and starts them again at the same addresses.
     pub fn restart_daemons(&mut self) {
         let places: Vec<DaemonPlace> = self.daemons.iter().map(|daemon| *daemon.place()).collect();
         self.fleet.daemons.clear();
@@ -258,8 +277,8 @@
         }
     }
 
-    /// Returns how many rows of a kind the store keeps.
-    pub fn kept_rows(&self, prefix: &str) -> usize {
+    /// Returns the number of rows in the store whose keys begin with `prefix`.
+    pub fn stored_row_count(&self, prefix: &str) -> usize {
         let path =
             format!("/rows-get?table=railspan&part=&from={prefix}&target={prefix}~&limit=500");
         let page = hosted_call(self.platform.address(), "GET", &path, &[], b"").expect("store");
@@ -267,22 +286,24 @@
         page["rows"].as_array().map_or(0, Vec::len)
     }
 
-    /// Returns how many targets ended.
-    pub fn crashes(&self) -> usize {
-        let lives = self.lives.lock().expect("lives");
-        lives.iter().filter(|(_, target)| target.has_crashed()).count()
+    /// Returns the number of targets that crashed.
+    pub fn crash_count(&self) -> usize {
+        let started = self.started_targets.lock().expect("started targets");
+        started.iter().filter(|(_, target)| target.has_crashed()).count()
     }
 }
 
-pub fn deployment(terms: &str) -> Value {
+/// Returns the deployment part of a daemon's settings.
+pub fn deployment_settings(terms: &str) -> Value {
     json!({
         "service": SERVICE,
         "terms": terms,
     })
 }
 
-/// Makes a configuration as the operator writes it.
-pub fn config(version: u64, service: &str) -> String {
+/// Makes a configuration in the form in which the platform's operators write it: one
+/// service with a route for reads and one for writes.
+pub fn platform_config(version: u64, service: &str) -> String {
     let route = |name: &str, prefix: &str, kind: &str| {
         json!({
             "name": name, "prefix": prefix, "route_type": kind, "timeout": "3s",
@@ -297,8 +318,8 @@
             "header_timeout": "3000ms", "idle_timeout": "15000ms",
         },
         "virtual_hosts": [{
-            "host": HOST,
-            "paths": [route("read", SAFE, "safe"), route("write", UNSAFE, "unsafe")],
+            "host": VIRTUAL_HOST,
+            "paths": [route("read", SAFE_PREFIX, "safe"), route("write", UNSAFE_PREFIX, "unsafe")],
         }],
     })
     .to_string()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A small fleet for tests: daemons as processes, stand-ins on threads.
-#![allow(dead_code, reason = "each test file uses a part of this")]
+//! A small fleet for tests: daemons run as processes, the stand-ins for targets and for
+//! the platform as threads of the test.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 pub mod hosted;
 
@@ -14,20 +15,25 @@
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
-/// Longest wait for anything that must happen; far beyond what it takes.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Longest wait for an expected event; far longer than any of them takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const TEMPLATE: &str = include_str!("../../examples/fundacion.jsonc");
+/// Bearer token of the account `cooperativas` in [`TEMPLATE`].
 pub const TOKEN: &str = "cooperativas-token";
+/// Bearer token of another account in [`TEMPLATE`].
 pub const OTHER_TOKEN: &str = "emergencia-token";
 
-/// What a fleet is made of.
+/// Parameters of a [`TestFleet`].
 pub struct FleetPlan {
     pub service: &'static str,
-    /// Hosts with a daemon and a target each.
+    /// Number of hosts; each has one daemon and one target.
     pub hosts: usize,
+    /// Slots of each target.
     pub slots: u16,
+    /// Mean time that a target takes for a call, in microseconds.
     pub service_us: u64,
+    /// Longest planned stop of a daemon, in milliseconds.
     pub stop_bound_ms: u64,
 }
 
@@ -37,6 +43,7 @@
     }
 }
 
+/// A running fleet whose daemon and target at the same index share a host.
 pub struct TestFleet {
     pub daemons: Vec<DaemonProcess>,
     pub targets: Vec<TargetStandin>,
@@ -49,7 +56,8 @@
 impl TestFleet {
     /// Starts a fleet and waits until every daemon serves every target.
     pub fn spawn(plan: FleetPlan) -> Self {
-        let platform = PlatformStandin::spawn(any(), PlatformLimits::default()).expect("platform");
+        let platform = PlatformStandin::spawn(ephemeral_address(), PlatformLimits::default())
+            .expect("platform");
         let runtime = Runtime::new().expect("runtime");
         let mut fleet = Self {
             daemons: Vec::new(),
@@ -67,13 +75,13 @@
         fleet
     }
 
-    /// Adds a daemon and its target.
+    /// Adds a host: starts a daemon, and a target that announces itself to it.
     pub fn add_host(&mut self, index: usize) {
         let daemon = self.start_daemon(index, &[]);
         let target = TargetStandin::spawn(TargetOptions {
             service: self.plan.service.to_owned(),
             name: format!("target-{index}"),
-            address: any(),
+            address: ephemeral_address(),
             daemon: daemon.place().admin,
             slots: self.plan.slots,
             service_us: self.plan.service_us,
@@ -83,7 +91,7 @@
         self.targets.push(target.expect("target"));
     }
 
-    /// Starts a daemon alone.
+    /// Starts a daemon without a target; the daemon is killed when the result is dropped.
     pub fn start_daemon(&self, index: usize, seeds: &[SocketAddr]) -> DaemonProcess {
         let spec = DaemonSpec {
             advertised: None,
@@ -100,43 +108,45 @@
         DaemonProcess::spawn(&spec).expect("daemon")
     }
 
+    /// Publishes a template as the next revision of the configuration.
     pub fn publish(&self, template: &str) -> Result<RevisionHead, railspan::PublishError> {
         let config = FleetConfig::parse("template", template).expect("template");
         let client = open_store(self.platform.address());
         self.runtime.block_on(railspan::publish(&client, &config, "test", None))
     }
 
-    pub fn place(&self, index: usize) -> DaemonPlace {
+    pub fn addresses(&self, index: usize) -> DaemonPlace {
         *self.daemons[index].place()
     }
 
-    /// Waits until every daemon has every target ready.
+    /// Waits until the entry of every daemon serves and knows every target.
     pub fn wait_ready(&self) {
         for index in 0..self.daemons.len() {
-            self.wait_known(index, self.targets.len());
+            self.wait_for_targets(index, self.targets.len());
         }
     }
 
-    /// Waits until the entry of one daemon knows so many targets.
-    pub fn wait_known(&self, index: usize, count: usize) {
-        let admin = self.place(index).admin;
-        eventually("all targets known", || known_targets(&self.state(admin)) == count);
+    /// Waits until the entry of one daemon serves and knows exactly `count` targets.
+    pub fn wait_for_targets(&self, index: usize, count: usize) {
+        let admin = self.addresses(index).admin;
+        eventually("all targets known", || entry_target_count(&self.state(admin)) == count);
     }
 
-    /// Returns the whole state of a daemon, or null if it can't be reached.
+    /// Returns a daemon's state page, or null if it can't be read.
     pub fn state(&self, admin: SocketAddr) -> Value {
         let page = self.runtime.block_on(fetch("GET", admin, "/state"));
         page.ok().and_then(|(_, body)| serde_json::from_slice(&body).ok()).unwrap_or_default()
     }
 
-    /// Returns the revision that a daemon's entry serves by.
-    pub fn revision(&self, admin: SocketAddr) -> Option<u64> {
+    /// Returns the revision that a daemon's entry serves, or `None` if it isn't ready.
+    pub fn serving_revision(&self, admin: SocketAddr) -> Option<u64> {
         let state = self.state(admin);
         state["entry"]["ready"].as_bool().filter(|ready| *ready)?;
         state["entry"]["revision"].as_u64()
     }
 
-    pub fn read(&self, path: &str) -> CallRequest {
+    /// Makes a `GET` call for the fleet's service, with a deadline of 10 s.
+    pub fn get_request(&self, path: &str) -> CallRequest {
         CallRequest {
             service: self.plan.service.to_owned(),
             token: TOKEN.to_owned(),
@@ -148,81 +158,92 @@
         }
     }
 
-    pub fn post(&self, key: &str, path: &str) -> CallRequest {
-        let mut call = self.read(path);
+    /// Makes a `POST` call with an idempotency key, whose bytes are also its body.
+    pub fn post_request(&self, key: &str, path: &str) -> CallRequest {
+        let mut call = self.get_request(path);
         call.method = "POST";
         call.key = Some(key.to_owned());
         call.body = key.as_bytes().to_vec();
         call
     }
 
+    /// Makes a call through a daemon and waits for its end.
     pub fn call(&self, index: usize, call: &CallRequest) -> CallReport {
-        let place = self.place(index);
+        let place = self.addresses(index);
         self.runtime.block_on(self.client.call(place.caller, call))
     }
 
-    /// Makes a call in the background.
-    pub fn start(&self, index: usize, call: CallRequest) -> tokio::task::JoinHandle<CallReport> {
-        let (client, place) = (self.client.clone(), self.place(index));
+    /// Starts a call through a daemon without waiting for its end.
+    pub fn start_call(
+        &self,
+        index: usize,
+        call: CallRequest,
+    ) -> tokio::task::JoinHandle<CallReport> {
+        let (client, place) = (self.client.clone(), self.addresses(index));
         self.runtime.spawn(async move { client.call(place.caller, &call).await })
     }
 
-    pub fn join(&self, call: tokio::task::JoinHandle<CallReport>) -> CallReport {
+    /// Waits for the end of a call that [`Self::start_call`] made.
+    pub fn join_call(&self, call: tokio::task::JoinHandle<CallReport>) -> CallReport {
         self.runtime.block_on(call).expect("call task")
     }
 
-    /// Repeats a call through a daemon until the answer is final.
+    /// Repeats a call through a daemon until its outcome is final, or returns the last
+    /// report after [`WAIT_TIMEOUT`].
     pub fn repeat_until_final(&self, index: usize, call: &CallRequest) -> CallReport {
-        let until = Instant::now() + LIMIT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         loop {
             let report = self.call(index, call);
-            let again = match report.verdict {
+            let retry = match report.verdict {
                 Verdict::NotRun | Verdict::Broken => true,
                 Verdict::Unknown => report.retry_after_ms.is_some(),
                 _ => false,
             };
-            if !again || Instant::now() > until {
+            if !retry || Instant::now() > give_up_at {
                 return report;
             }
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Returns every run with this key on any target.
+    /// Returns all runs with an idempotency key, on all targets together.
     pub fn runs(&self, key: &str) -> Vec<TargetRun> {
         let runs = self.targets.iter().flat_map(TargetStandin::runs);
         runs.filter(|run| run.key.as_deref() == Some(key)).collect()
     }
 
-    /// Returns the index of the target that ran a key.
-    pub fn ran_on(&self, key: &str) -> Option<usize> {
-        let has = |target: &TargetStandin| {
+    /// Returns the index of the first target that began to run a call with this key.
+    pub fn target_that_ran(&self, key: &str) -> Option<usize> {
+        let has_run = |target: &TargetStandin| {
             target.runs().iter().any(|run| run.key.as_deref() == Some(key))
         };
-        self.targets.iter().position(has)
+        self.targets.iter().position(has_run)
     }
 
-    pub fn faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
+    /// Sets the platform's faults to those that `change` makes; all others end.
+    pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         let mut faults = PlatformFaults::default();
         change(&mut faults);
         self.platform.set_faults(faults);
     }
 }
 
-pub fn any() -> SocketAddr {
+/// Returns the loopback address at which the system chooses a free port.
+pub fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Waits until something holds, and fails the test if it never does.
+/// Waits until a condition holds, and fails the test after [`WAIT_TIMEOUT`].
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "never: {what}");
+        assert!(Instant::now() < give_up_at, "timed out waiting until: {what}");
         std::thread::sleep(Duration::from_millis(25));
     }
 }
 
-fn known_targets(state: &Value) -> usize {
+/// Counts the targets of all services in an entry's state; zero while it isn't ready.
+fn entry_target_count(state: &Value) -> usize {
     let services = state["entry"]["services"].as_object();
     let count = |service: &Value| service["targets"].as_array().map_or(0, Vec::len);
     if state["entry"]["ready"] != Value::Bool(true) {
--- a/tests/complete_answer.rs
+++ b/tests/complete_answer.rs
@@ -11,8 +11,8 @@
     let calls: Vec<_> = (0..300)
         .map(|number| {
             let size = [10, 5_000, 200_000][number % 3];
-            let call = fleet.read(&format!("/item/{number}?size={size}"));
-            (number, fleet.start(number % 3, call))
+            let call = fleet.get_request(&format!("/item/{number}?size={size}"));
+            (number, fleet.start_call(number % 3, call))
         })
         .collect();
     for (number, call) in calls {
@@ -21,13 +21,13 @@
             call.abort();
             continue;
         }
-        let report = fleet.join(call);
+        let report = fleet.join_call(call);
         assert!(
             matches!(report.verdict, Verdict::Complete | Verdict::NotRun),
             "call {number}: {report:?}"
         );
     }
-    let report = fleet.call(0, &fleet.read("/after?size=1000"));
+    let report = fleet.call(0, &fleet.get_request("/after?size=1000"));
     assert_eq!(report.verdict, Verdict::Complete);
 }
 
@@ -39,7 +39,7 @@
         target.behave(|behaviour| behaviour.cut_after = Some(20_000));
     }
     for number in 0..10 {
-        let report = fleet.call(0, &fleet.read(&format!("/cut/{number}?size=100000")));
+        let report = fleet.call(0, &fleet.get_request(&format!("/cut/{number}?size=100000")));
         // Which of the two depends on how much left the guard before the cut.
         let visible = matches!(report.verdict, Verdict::Broken | Verdict::Unknown);
         assert!(visible, "{report:?}");
@@ -48,7 +48,7 @@
         target.behave(|behaviour| behaviour.cut_after = None);
     }
     eventually("whole answers again", || {
-        fleet.call(0, &fleet.read("/whole?size=100000")).verdict == Verdict::Complete
+        fleet.call(0, &fleet.get_request("/whole?size=100000")).verdict == Verdict::Complete
     });
 }
 
@@ -58,12 +58,12 @@
         TestFleet::spawn(FleetPlan { hosts: 1, service: "grillas", ..FleetPlan::default() });
     fleet.targets[0].behave(|behaviour| behaviour.extra = 50);
     for number in 0..20 {
-        let report = fleet.call(0, &fleet.read(&format!("/extra/{number}?size=500")));
+        let report = fleet.call(0, &fleet.get_request(&format!("/extra/{number}?size=500")));
         assert_ne!(report.verdict, Verdict::Wrong, "{report:?}");
     }
     fleet.targets[0].behave(|behaviour| behaviour.extra = 0);
     for number in 0..20 {
-        let report = fleet.call(0, &fleet.read(&format!("/clean/{number}?size=500")));
+        let report = fleet.call(0, &fleet.get_request(&format!("/clean/{number}?size=500")));
         assert_ne!(report.verdict, Verdict::Wrong, "{report:?}");
     }
 }
@@ -74,12 +74,14 @@
         TestFleet::spawn(FleetPlan { hosts: 2, service: "grillas", ..FleetPlan::default() });
     // The answers stream while the guard of the second host dies.
     let calls: Vec<_> = (0..40)
-        .map(|number| fleet.start(0, fleet.read(&format!("/big/{number}?size=900000&us=30000"))))
+        .map(|number| {
+            fleet.start_call(0, fleet.get_request(&format!("/big/{number}?size=900000&us=30000")))
+        })
         .collect();
     std::thread::sleep(std::time::Duration::from_millis(40));
     fleet.daemons[1].kill().expect("kill");
     for call in calls {
-        let report = fleet.join(call);
+        let report = fleet.join_call(call);
         assert_ne!(report.verdict, Verdict::Wrong, "{report:?}");
     }
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -2,12 +2,15 @@
 
 mod common;
 
-use common::{FleetPlan, LIMIT, TEMPLATE, TestFleet, eventually};
+use common::{FleetPlan, TEMPLATE, TestFleet, WAIT_TIMEOUT, eventually};
 use railspan::{PublishError, open_store};
 use railspan_standins::Verdict;
 
 fn everywhere(fleet: &TestFleet, revision: u64) -> bool {
-    fleet.daemons.iter().all(|daemon| fleet.revision(daemon.place().admin) == Some(revision))
+    fleet
+        .daemons
+        .iter()
+        .all(|daemon| fleet.serving_revision(daemon.place().admin) == Some(revision))
 }
 
 #[test]
@@ -44,7 +47,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     for _ in 0..3 {
         // The body's answer is lost first, then the head's.
-        fleet.faults(|faults| faults.lose_answers = 1);
+        fleet.set_faults(|faults| faults.lose_answers = 1);
         let before =
             fleet.runtime.block_on(railspan::read_head(&open_store(fleet.platform.address())));
         let before = before.expect("head").expect("published").0.revision;
@@ -64,17 +67,17 @@
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.publish(TEMPLATE).expect("publish");
     eventually("in force everywhere", || everywhere(&fleet, 2));
-    fleet.faults(|faults| faults.down = true);
+    fleet.set_faults(|faults| faults.down = true);
     let alone = fleet.start_daemon(8, &[]);
-    let seeded = fleet.start_daemon(9, &[fleet.place(0).peer, fleet.place(1).peer]);
+    let seeded = fleet.start_daemon(9, &[fleet.addresses(0).peer, fleet.addresses(1).peer]);
     let admin = seeded.place().admin;
-    eventually("the seeded one serves by revision 2", || fleet.revision(admin) == Some(2));
+    eventually("the seeded one serves by revision 2", || fleet.serving_revision(admin) == Some(2));
     // The one that can ask nobody does not serve.
-    let call = fleet.read("/r?size=10");
+    let call = fleet.get_request("/r?size=10");
     let report = fleet.runtime.block_on(fleet.client.call(alone.place().caller, &call));
     assert_eq!(report.verdict, Verdict::NotRun, "{report:?}");
     fleet.daemons.push(seeded);
-    fleet.wait_known(2, 2);
+    fleet.wait_for_targets(2, 2);
     let report = fleet.call(2, &call);
     assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
 }
@@ -82,10 +85,10 @@
 #[test]
 fn a_body_the_object_store_lost_comes_from_a_peer() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
-    fleet.faults(|faults| faults.objects_missing = true);
+    fleet.set_faults(|faults| faults.objects_missing = true);
     let fresh = fleet.start_daemon(9, &[]);
     let admin = fresh.place().admin;
-    eventually("the fresh one serves", || fleet.revision(admin) == Some(1));
+    eventually("the fresh one serves", || fleet.serving_revision(admin) == Some(1));
 }
 
 #[test]
@@ -95,18 +98,18 @@
     for _ in 0..3 {
         fleet.publish(TEMPLATE).expect("publish");
     }
-    let admins = [fleet.place(0).admin, fleet.place(1).admin];
+    let admins = [fleet.addresses(0).admin, fleet.addresses(1).admin];
     eventually("in force at the others", || {
-        admins.iter().all(|&admin| fleet.revision(admin) == Some(4))
+        admins.iter().all(|&admin| fleet.serving_revision(admin) == Some(4))
     });
     fleet.daemons[2].thaw().expect("thaw");
     let mut seen = 0;
     eventually("in force everywhere", || {
         for daemon in &fleet.daemons {
-            let revision = fleet.revision(daemon.place().admin).unwrap_or(seen);
+            let revision = fleet.serving_revision(daemon.place().admin).unwrap_or(seen);
             assert!(revision >= 1);
         }
-        let own = fleet.revision(fleet.place(2).admin).unwrap_or(0);
+        let own = fleet.serving_revision(fleet.addresses(2).admin).unwrap_or(0);
         assert!(own >= seen, "fell from {seen} to {own}");
         seen = own;
         everywhere(&fleet, 4)
@@ -116,26 +119,26 @@
 #[test]
 fn all_daemons_outlive_a_long_outage_of_the_platform() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
-    fleet.faults(|faults| faults.down = true);
+    fleet.set_faults(|faults| faults.down = true);
     for number in 0..30 {
-        let report = fleet.call(number % 3, &fleet.read("/r?size=100"));
+        let report = fleet.call(number % 3, &fleet.get_request("/r?size=100"));
         assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     // Also a planned stop does not wait for the platform for ever.
     fleet.daemons[0].terminate().expect("terminate");
-    assert!(fleet.daemons[0].wait(LIMIT).expect("wait").is_some());
+    assert!(fleet.daemons[0].wait(WAIT_TIMEOUT).expect("wait").is_some());
 }
 
 #[test]
 fn daemons_that_start_together_find_each_other() {
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 0, ..FleetPlan::default() });
     // Slow enough that all reads of the table would overlap all writes.
-    fleet.faults(|faults| faults.slow_ms = 300);
+    fleet.set_faults(|faults| faults.slow_ms = 300);
     for index in 0..4 {
         fleet.add_host(index);
     }
     std::thread::sleep(std::time::Duration::from_secs(1));
-    fleet.faults(|_| {});
+    fleet.set_faults(|_| {});
     fleet.wait_ready();
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -21,7 +21,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::hosted::{DeadlyFleet, HostedFleet, SAFE};
+use common::hosted::{CrashingFleet, HostedFleet, SAFE_PREFIX};
 
 /// Targets that may end of one request before it is known: three tell it from what ran
 /// beside it.
@@ -35,22 +35,22 @@
 /// How long copies keep coming.
 const LASTS: Duration = Duration::from_secs(9);
 
-const WORK: Duration = Duration::from_millis(30);
+const SERVICE_TIME: Duration = Duration::from_millis(30);
 
 #[test]
 fn a_request_that_ends_targets_reaches_few_of_them() {
-    let fleet = DeadlyFleet::spawn(4, WORK);
+    let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     let stop = AtomicBool::new(false);
     let (mut innocent, mut denied) = (0, 0);
     std::thread::scope(|scope| {
-        scope.spawn(|| fleet.revive(&stop));
+        scope.spawn(|| fleet.restart_crashed_targets(&stop));
         let copies = scope.spawn(|| {
             let until = Instant::now() + LASTS;
             for host in (0..4).cycle() {
                 if Instant::now() >= until {
                     break;
                 }
-                let answer = fleet.call_deadly(host, &format!("copy-{host}"));
+                let answer = fleet.send_crashing_request(host, &format!("copy-{host}"));
                 assert!(answer.is_none_or(|answer| answer.status != 200), "it never ends well");
                 std::thread::sleep(Duration::from_millis(60));
             }
@@ -58,7 +58,7 @@
         let mut number = 0;
         while !copies.is_finished() {
             number += 1;
-            let answer = fleet.call(number % 4, SAFE, &format!("read{number}"));
+            let answer = fleet.call(number % 4, SAFE_PREFIX, &format!("read{number}"));
             let status = answer.map_or(0, |answer| answer.status);
             innocent += usize::from(status == 200);
             denied += usize::from((400..500).contains(&status));
@@ -66,9 +66,9 @@
         }
         stop.store(true, Ordering::Relaxed);
     });
-    let arrivals = fleet.deadly_arrivals();
+    let arrivals = fleet.crashing_run_times();
     assert!(arrivals.len() >= CRASHES, "it was judged on {} runs", arrivals.len());
-    let third = arrivals[CRASHES - 1] + WORK;
+    let third = arrivals[CRASHES - 1] + SERVICE_TIME;
     let late = arrivals.iter().filter(|at| **at > third + STABILITY).count();
     assert!(late <= LATER_COPIES, "{late} copies arrived later, of {}", arrivals.len());
     assert!(innocent > 0, "others were served meanwhile");
@@ -77,55 +77,55 @@
 
 #[test]
 fn all_targets_stay_once_it_is_known() {
-    let fleet = DeadlyFleet::spawn(4, WORK);
+    let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        scope.spawn(|| fleet.revive(&stop));
+        scope.spawn(|| fleet.restart_crashed_targets(&stop));
         // One copy at a time, so that each is sent with all that the fleet has learned.
         for round in 0..40 {
-            fleet.call_deadly(round % 4, &format!("copy-{round}"));
+            fleet.send_crashing_request(round % 4, &format!("copy-{round}"));
             std::thread::sleep(Duration::from_millis(150));
         }
         stop.store(true, Ordering::Relaxed);
     });
-    assert_eq!(fleet.crashes(), CRASHES, "targets that ended");
+    assert_eq!(fleet.crash_count(), CRASHES, "targets that ended");
 }
 
 /// A target that ends by itself takes others' calls with it; none of them is to blame.
 #[test]
 fn calls_that_run_beside_a_crash_are_served_afterwards() {
-    let fleet = HostedFleet::spawn(3, WORK);
+    let fleet = HostedFleet::spawn(3, SERVICE_TIME);
     let paths = ["popular", "rare"];
     for round in 0..2 {
         std::thread::scope(|scope| {
             for host in 0..3 {
                 for path in paths {
                     let fleet = &fleet;
-                    scope.spawn(move || drop(fleet.call(host, SAFE, path)));
+                    scope.spawn(move || drop(fleet.call(host, SAFE_PREFIX, path)));
                 }
             }
-            std::thread::sleep(WORK / 2);
+            std::thread::sleep(SERVICE_TIME / 2);
             fleet.targets[round].crash();
         });
     }
     for path in paths {
         common::eventually("it is served", || {
-            fleet.call(2, SAFE, path).is_some_and(|answer| answer.status == 200)
+            fleet.call(2, SAFE_PREFIX, path).is_some_and(|answer| answer.status == 200)
         });
     }
 }
 
 /// Plays copies one after the other until the request reaches no target.
-fn blame(fleet: &DeadlyFleet) {
+fn blame(fleet: &CrashingFleet) {
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        scope.spawn(|| fleet.revive(&stop));
+        scope.spawn(|| fleet.restart_crashed_targets(&stop));
         let mut copy = 0;
         common::eventually("held back", || {
             copy += 1;
-            let answer = fleet.call_deadly(copy % 4, &format!("copy-{copy}"));
+            let answer = fleet.send_crashing_request(copy % 4, &format!("copy-{copy}"));
             answer.is_some_and(|answer| answer.status == 503)
-                && (0..4).all(|host| fleet.blamed(host) == 1)
+                && (0..4).all(|host| fleet.blamed_count(host) == 1)
         });
         stop.store(true, Ordering::Relaxed);
     });
@@ -133,15 +133,15 @@
 
 #[test]
 fn it_is_turned_away_at_once_and_truly_until_an_operator_lets_it_through() {
-    let fleet = DeadlyFleet::spawn(4, WORK);
+    let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     blame(&fleet);
-    let ran = fleet.deadly_arrivals().len();
-    let answer = fleet.call_deadly(1, "late").expect("answer");
+    let ran = fleet.crashing_run_times().len();
+    let answer = fleet.send_crashing_request(1, "late").expect("answer");
     assert_eq!(answer.status, 503);
     assert!(!answer.headers.contains_key("retry-after"), "coming back does not help");
-    assert_eq!(fleet.deadly_arrivals().len(), ran, "not run, as it says");
+    assert_eq!(fleet.crashing_run_times().len(), ran, "not run, as it says");
     common::eventually("another path is another request", || {
-        fleet.call(1, SAFE, "other").is_some_and(|answer| answer.status == 200)
+        fleet.call(1, SAFE_PREFIX, "other").is_some_and(|answer| answer.status == 200)
     });
 
     let admin = fleet.daemons[2].place().admin.to_string();
@@ -157,25 +157,25 @@
     let digest = line.split([' ', ',']).find(|word| word.len() == 32).expect("digest");
     assert!(railspan(&["forgive", digest]).contains("may reach targets again"));
     for host in 0..4 {
-        common::eventually("let through", || fleet.blamed(host) == 0);
+        common::eventually("let through", || fleet.blamed_count(host) == 0);
     }
-    drop(fleet.call_deadly(0, "again"));
-    assert!(fleet.deadly_arrivals().len() > ran, "it was let through");
+    drop(fleet.send_crashing_request(0, "again"));
+    assert!(fleet.crashing_run_times().len() > ran, "it was let through");
 }
 
 #[test]
 fn it_stays_known_when_all_daemons_lose_power() {
-    let mut fleet = DeadlyFleet::spawn(4, WORK);
+    let mut fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     blame(&fleet);
-    let ran = fleet.deadly_arrivals().len();
-    common::eventually("kept", || fleet.kept_rows("fleet-blame-") == 1);
+    let ran = fleet.crashing_run_times().len();
+    common::eventually("kept", || fleet.stored_row_count("fleet-blame-") == 1);
     fleet.restart_daemons();
     for host in 0..4 {
-        common::eventually("known again", || fleet.blamed(host) == 1);
-        let answer = fleet.call_deadly(host, &format!("after-{host}"));
+        common::eventually("known again", || fleet.blamed_count(host) == 1);
+        let answer = fleet.send_crashing_request(host, &format!("after-{host}"));
         assert!(answer.is_none_or(|answer| answer.status == 503), "host-{host}");
     }
-    assert_eq!(fleet.deadly_arrivals().len(), ran, "copies after the power came back");
+    assert_eq!(fleet.crashing_run_times().len(), ran, "copies after the power came back");
 }
 
 /// A guard that waited for heartbeats to stop took calls for a target that was gone and
@@ -184,15 +184,15 @@
 #[test]
 fn a_target_that_is_gone_gets_no_calls_though_its_heartbeat_counts() {
     let terms = "heartbeat=60s,retry_budget_ratio=0.2,budget_slack=58,grace=6s";
-    let fleet = HostedFleet::spawn_on(2, WORK, terms);
-    fleet.targets[0].end_on(SAFE);
+    let fleet = HostedFleet::spawn_with_terms(2, SERVICE_TIME, terms);
+    fleet.targets[0].end_on(SAFE_PREFIX);
     common::eventually("one target left", || {
-        drop(fleet.call(1, SAFE, "any"));
+        drop(fleet.call(1, SAFE_PREFIX, "any"));
         fleet.state(0)["guard"]["targets"][0]["ready"] == false
     });
     assert!(fleet.targets[0].has_crashed());
     for number in 0..20 {
-        let answer = fleet.call(1, SAFE, &format!("read{number}"));
+        let answer = fleet.call(1, SAFE_PREFIX, &format!("read{number}"));
         assert!(answer.is_some_and(|answer| answer.status == 200), "read{number}");
     }
 }
--- a/tests/evacuated.rs
+++ b/tests/evacuated.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use common::eventually;
-use common::hosted::{HostedFleet, SAFE, SERVICE, UNSAFE};
+use common::hosted::{HostedFleet, SAFE_PREFIX, SERVICE, UNSAFE_PREFIX};
 use railspan_standins::{HostedTarget, PlatformFaults};
 use serde_json::{Value, json};
 
-const WORK: Duration = Duration::from_millis(5);
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
 fn evacuate(fleet: &HostedFleet, centre: &str) {
     fleet.platform.write_operator_row(&format!("evacuate/{centre}"), Some(b"{}"));
@@ -25,13 +25,14 @@
 
 /// Makes some calls through each daemon and returns how many were answered.
 fn call_all(fleet: &HostedFleet, start: &str) -> usize {
-    let all = (0..30).map(|number| fleet.call(number % 3, SAFE, &format!("{start}{number}")));
+    let all =
+        (0..30).map(|number| fleet.call(number % 3, SAFE_PREFIX, &format!("{start}{number}")));
     all.flatten().filter(|answer| answer.status == 200).count()
 }
 
 #[test]
 fn an_evacuated_data_centre_gets_nothing_until_it_is_taken_back() {
-    let fleet = HostedFleet::spawn(3, WORK);
+    let fleet = HostedFleet::spawn(3, SERVICE_TIME);
     evacuate(&fleet, "ba-norte-1");
     for index in 0..3 {
         eventually("evacuated", || evacuated(&fleet, index) == json!(["ba-norte-1"]));
@@ -51,7 +52,7 @@
 
 #[test]
 fn an_evacuation_outlives_the_loss_of_every_daemon() {
-    let mut fleet = HostedFleet::spawn(3, WORK);
+    let mut fleet = HostedFleet::spawn(3, SERVICE_TIME);
     evacuate(&fleet, "ba-norte-2");
     for index in 0..3 {
         eventually("evacuated", || evacuated(&fleet, index) == json!(["ba-norte-2"]));
@@ -76,7 +77,7 @@
 /// The history of changes is gone when the evacuation ends: who reads anew hears it.
 #[test]
 fn an_end_that_nobody_could_follow_is_heard_all_the_same() {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     evacuate(&fleet, "ba-norte-1");
     eventually("evacuated", || evacuated(&fleet, 1) == json!(["ba-norte-1"]));
     fleet.platform.set_faults(PlatformFaults { history_gone: true, ..PlatformFaults::default() });
@@ -88,21 +89,21 @@
 
 #[test]
 fn with_all_data_centres_evacuated_calls_are_refused_at_once() {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     evacuate(&fleet, "ba-norte-1");
     evacuate(&fleet, "ba-norte-2");
     for index in 0..2 {
         let both = json!(["ba-norte-1", "ba-norte-2"]);
         eventually("evacuated", || evacuated(&fleet, index) == both);
     }
-    let answer = fleet.call(0, UNSAFE, "nowhere").expect("answer");
+    let answer = fleet.call(0, UNSAFE_PREFIX, "nowhere").expect("answer");
     assert_eq!(answer.status, 503);
-    assert_eq!(fleet.runs("nowhere"), 0);
+    assert_eq!(fleet.run_count("nowhere"), 0);
 }
 
 #[test]
 fn rows_of_another_writer_leave_the_others_in_force() {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.platform.write_own_row("fleet-member-nobody", b"\xff\x00 no text");
     fleet.platform.write_own_row("fleet-member-host-9", b"{\"host\":7}");
     fleet.platform.write_operator_row("config", Some(b"{\"version\":\"r9"));
@@ -113,7 +114,8 @@
     let late = fleet.start_daemon(2);
     drop(late);
     for number in 0..10 {
-        let answer = fleet.call(number % 2, SAFE, &format!("foreign{number}")).expect("answer");
+        let answer =
+            fleet.call(number % 2, SAFE_PREFIX, &format!("foreign{number}")).expect("answer");
         assert_eq!(answer.status, 200);
     }
 }
@@ -136,7 +138,7 @@
 /// though the numbers of these begin anew; what is of its earlier life changes nothing.
 #[test]
 fn a_reborn_target_is_taken_up_at_once() {
-    let fleet = HostedFleet::spawn(1, WORK);
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     let (target, control) = (&fleet.targets[0], fleet.control(0));
     target.restart(1_000);
     eventually("born", || target_state(&fleet, 0)["life"]["born"] == 1_000);
@@ -147,7 +149,7 @@
     let path = format!("/instances/{name}/leave");
     let leave = railspan_standins::hosted_call(control, "POST", &path, &[], b"{\"born\":1000}");
     assert_eq!(leave.expect("leave").status, 200);
-    let answer = fleet.call(0, SAFE, "reborn").expect("answer");
+    let answer = fleet.call(0, SAFE_PREFIX, "reborn").expect("answer");
     assert_eq!(answer.status, 200);
     assert_eq!(target_state(&fleet, 0)["ready"], true);
 }
@@ -159,22 +161,22 @@
     target.restart(1_000);
     eventually("born", || target_state(&fleet, 0)["life"]["born"] == 1_000);
     let answer = std::thread::scope(|scope| {
-        let call = scope.spawn(|| fleet.call(0, UNSAFE, "once"));
-        eventually("runs", || fleet.runs("once") == 1);
+        let call = scope.spawn(|| fleet.call(0, UNSAFE_PREFIX, "once"));
+        eventually("runs", || fleet.run_count("once") == 1);
         target.restart(2_000);
         eventually("born again", || target_state(&fleet, 0)["life"]["born"] == 2_000);
         call.join().expect("thread")
     });
     // Its connection still stands, so the answer comes: it ran, and that is said.
     assert_eq!(answer.expect("answer").status, 200);
-    assert_eq!(fleet.runs("once"), 1);
+    assert_eq!(fleet.run_count("once"), 1);
     assert_eq!(target_state(&fleet, 0)["running"], 0);
 }
 
 #[test]
 fn heartbeats_of_another_writer_name_no_target() {
-    let fleet = HostedFleet::spawn(1, WORK);
-    let other = HostedTarget::spawn(SERVICE, "i-other", WORK).expect("target");
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
+    let other = HostedTarget::spawn(SERVICE, "i-other", SERVICE_TIME).expect("target");
     let beat = |change: &dyn Fn(&mut Value)| {
         let mut body = json!({
             "address": other.address(), "born": 7,
@@ -204,7 +206,7 @@
     assert_eq!(beat(&|body| body["born"] = json!("yesterday")), 400);
     assert_eq!(beat(&|body| body["info"]["service"] = json!("nobody")), 200);
     for number in 0..20 {
-        let answer = fleet.call(0, SAFE, &format!("forged{number}")).expect("answer");
+        let answer = fleet.call(0, SAFE_PREFIX, &format!("forged{number}")).expect("answer");
         assert_eq!(answer.status, 200);
     }
     assert!(other.runs().is_empty());
@@ -216,7 +218,7 @@
 /// none, and the later one ends the earlier.
 #[test]
 fn of_two_targets_at_one_address_the_later_born_holds() {
-    let fleet = HostedFleet::spawn(1, WORK);
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     let target = &fleet.targets[0];
     target.restart(2_000);
     eventually("born", || target_state(&fleet, 0)["life"]["born"] == 2_000);
--- a/tests/hosted_calls.rs
+++ b/tests/hosted_calls.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use common::hosted::{HostedFleet, SAFE, SERVICE, UNSAFE};
+use common::hosted::{HostedFleet, SAFE_PREFIX, SERVICE, UNSAFE_PREFIX};
 use railspan_standins::{HostedMood, HostedTarget};
 use test_case::test_case;
 
-const WORK: Duration = Duration::from_millis(5);
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
 fn set_all(fleet: &HostedFleet, mood: &HostedMood) {
     fleet.targets.iter().for_each(|target| target.set_mood(mood.clone()));
@@ -16,8 +16,8 @@
 
 #[test]
 fn a_call_reaches_its_target_unchanged_but_for_the_systems_own_headers() {
-    let fleet = HostedFleet::spawn(3, WORK);
-    for prefix in [SAFE, UNSAFE] {
+    let fleet = HostedFleet::spawn(3, SERVICE_TIME);
+    for prefix in [SAFE_PREFIX, UNSAFE_PREFIX] {
         let id = format!("plain{}", prefix.trim_matches('/'));
         let answer = fleet.call(1, prefix, &id).expect("answer");
         assert_eq!(answer.status, 200);
@@ -27,7 +27,7 @@
         let runs: Vec<_> = fleet.targets.iter().flat_map(HostedTarget::runs).collect();
         let run = runs.iter().find(|run| run.headers["x-request-id"] == id).expect("run");
         assert!(run.line.ends_with(&format!("{prefix}{id} HTTP/1.1")), "{}", run.line);
-        assert_eq!(run.headers["host"], common::hosted::HOST);
+        assert_eq!(run.headers["host"], common::hosted::VIRTUAL_HOST);
         assert_eq!(run.headers["x-caller-service"], SERVICE);
         assert!(run.headers["x-target-instance"].starts_with("i-"));
         let left: u64 = run.headers["x-deadline-ms"].parse().expect("number");
@@ -40,22 +40,22 @@
 #[test_case(&HostedMood::Unsigned; "without its signature")]
 #[test_case(&HostedMood::Truncate; "cut short")]
 fn an_answer_that_is_none_is_never_delivered_and_a_write_runs_once(mood: &HostedMood) {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     set_all(&fleet, mood);
     for number in 0..4 {
         let id = format!("write{number}");
-        let answer = fleet.call(0, UNSAFE, &id).expect("an answer of the system's own");
+        let answer = fleet.call(0, UNSAFE_PREFIX, &id).expect("an answer of the system's own");
         assert!(matches!(answer.status, 502 | 504), "status {}", answer.status);
-        assert_eq!(fleet.runs(&id), 1);
+        assert_eq!(fleet.run_count(&id), 1);
     }
 }
 
 #[test]
 fn a_lost_read_is_tried_at_another_target() {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::LoseAnswer);
     let served = (0..6).filter(|number| {
-        let answer = fleet.call(0, SAFE, &format!("read{number}"));
+        let answer = fleet.call(0, SAFE_PREFIX, &format!("read{number}"));
         answer.is_some_and(|answer| answer.status == 200)
     });
     assert_eq!(served.count(), 6);
@@ -64,23 +64,23 @@
 #[test_case(&HostedMood::Decline; "full")]
 #[test_case(&HostedMood::OtherTarget; "another target")]
 fn what_no_target_ran_is_refused_with_a_time_to_come_back(mood: &HostedMood) {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     set_all(&fleet, mood);
-    let answer = fleet.call(0, UNSAFE, "refused").expect("answer");
+    let answer = fleet.call(0, UNSAFE_PREFIX, "refused").expect("answer");
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.headers["retry-after"].parse().expect("seconds");
     assert!(seconds > 0.0 && seconds < 2.0, "retry after {seconds}");
     assert!(answer.took < Duration::from_secs(1), "held back for {:?}", answer.took);
-    assert_eq!(fleet.runs("refused"), 0);
+    assert_eq!(fleet.run_count("refused"), 0);
 }
 
 #[test]
 fn a_second_answer_on_a_connection_belongs_to_no_call() {
-    let fleet = HostedFleet::spawn(1, WORK);
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::Twice);
     for number in 0..10 {
         let id = format!("twice{number}");
-        let answer = fleet.call(0, SAFE, &id).expect("answer");
+        let answer = fleet.call(0, SAFE_PREFIX, &id).expect("answer");
         if answer.status == 200 {
             assert_eq!(answer.body, format!("body of {id}").as_bytes());
         }
@@ -89,53 +89,56 @@
 
 #[test]
 fn a_failure_of_a_target_is_delivered_as_it_is() {
-    let fleet = HostedFleet::spawn(1, WORK);
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::Fail);
-    let answer = fleet.call(0, UNSAFE, "failed").expect("answer");
+    let answer = fleet.call(0, UNSAFE_PREFIX, "failed").expect("answer");
     assert_eq!((answer.status, answer.headers["x-server-signature"].as_str()), (500, "3e1b.07"));
 }
 
 #[test]
 fn a_call_past_its_time_gets_its_answer_at_once() {
     let fleet = HostedFleet::spawn(1, Duration::from_secs(2));
-    let answer = fleet.call_within(0, UNSAFE, "late", 300).expect("answer");
+    let answer = fleet.call_with_deadline(0, UNSAFE_PREFIX, "late", 300).expect("answer");
     assert_eq!(answer.status, 504);
     assert!(answer.took >= Duration::from_millis(250), "given up after {:?}", answer.took);
-    assert_eq!(fleet.runs("late"), 1);
+    assert_eq!(fleet.run_count("late"), 1);
 }
 
 #[test]
 fn a_path_of_no_route_is_unknown() {
-    let fleet = HostedFleet::spawn(1, WORK);
+    let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     let answer = fleet.call(0, "/none/", "nowhere").expect("answer");
     assert_eq!(answer.status, 404);
 }
 
 #[test]
 fn a_hedged_read_reaches_no_more_targets_than_its_route_allows() {
-    let fleet = HostedFleet::spawn(4, WORK);
+    let fleet = HostedFleet::spawn(4, SERVICE_TIME);
     for number in 0..40 {
-        assert_eq!(fleet.call(0, SAFE, &format!("warm{number}")).expect("answer").status, 200);
+        assert_eq!(
+            fleet.call(0, SAFE_PREFIX, &format!("warm{number}")).expect("answer").status,
+            200
+        );
     }
     for target in &fleet.targets {
         target.set_work(Duration::from_millis(250));
         target.set_mood(HostedMood::LoseAnswer);
     }
-    let answer = fleet.call(0, SAFE, "lost").expect("answer");
+    let answer = fleet.call(0, SAFE_PREFIX, "lost").expect("answer");
     assert_eq!(answer.status, 504);
-    let reached = fleet.runs("lost");
+    let reached = fleet.run_count("lost");
     assert!((1..=2).contains(&reached), "reached {reached} targets; the route allows 2");
 }
 
 #[test]
 fn the_first_reads_of_a_route_do_not_wait_for_a_target_that_hangs() {
-    let fleet = HostedFleet::spawn(2, WORK);
+    let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.targets[0].set_work(Duration::from_secs(5));
     let statuses: Vec<u16> = std::thread::scope(|scope| {
         let calls: Vec<_> = (0..6)
             .map(|number| {
                 let fleet = &fleet;
-                scope.spawn(move || fleet.call(0, SAFE, &format!("first{number}")))
+                scope.spawn(move || fleet.call(0, SAFE_PREFIX, &format!("first{number}")))
             })
             .collect();
         calls.into_iter().map(|call| call.join().expect("call").expect("answer").status).collect()
--- a/tests/late_copies.rs
+++ b/tests/late_copies.rs
@@ -34,7 +34,7 @@
 }
 
 fn incarnation(fleet: &TestFleet) -> DaemonIncarnation {
-    let state = fleet.state(fleet.place(0).admin);
+    let state = fleet.state(fleet.addresses(0).admin);
     DaemonIncarnation(state["peers"]["members"][0]["incarnation"].as_u64().expect("incarnation"))
 }
 
@@ -64,7 +64,7 @@
 }
 
 fn send(fleet: &TestFleet, head: &CallHead) -> AnswerHead {
-    fleet.runtime.block_on(ask(fleet.place(0).guard, "/call", head))
+    fleet.runtime.block_on(ask(fleet.addresses(0).guard, "/call", head))
 }
 
 fn runs(fleet: &TestFleet, call: u128) -> usize {
@@ -91,7 +91,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let life = incarnation(&fleet);
     let revoke = RevokeHead { call: CallId(2), incarnation: life };
-    let guard = fleet.place(0).guard;
+    let guard = fleet.addresses(0).guard;
     let reply: RevokeReply = fleet.runtime.block_on(ask(guard, "/revoke", &revoke));
     assert_eq!(reply.status, CallStatus::NotRun);
     let answer = send(&fleet, &head(&fleet, 2, life));
@@ -105,7 +105,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let former = DaemonIncarnation(incarnation(&fleet).0 ^ 1);
     let revoke = RevokeHead { call: CallId(3), incarnation: former };
-    let guard = fleet.place(0).guard;
+    let guard = fleet.addresses(0).guard;
     let reply: RevokeReply = fleet.runtime.block_on(ask(guard, "/revoke", &revoke));
     assert_eq!(reply.status, CallStatus::Unknown);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{FleetPlan, LIMIT, TestFleet, eventually};
+use common::{FleetPlan, TestFleet, WAIT_TIMEOUT, eventually};
 use railspan_standins::{Verdict, fetch};
 
 /// Bound on new work after a target began to leave: its lease of 3 s, the
@@ -15,10 +15,12 @@
 fn gets_work(fleet: &TestFleet, target: usize) -> bool {
     let before = fleet.targets[target].runs().len();
     let calls: Vec<_> = (0..60)
-        .map(|number| fleet.start(number % fleet.daemons.len(), fleet.read("/w?size=10&us=5000")))
+        .map(|number| {
+            fleet.start_call(number % fleet.daemons.len(), fleet.get_request("/w?size=10&us=5000"))
+        })
         .collect();
     for call in calls {
-        fleet.join(call);
+        fleet.join_call(call);
     }
     fleet.targets[target].runs().len() > before
 }
@@ -27,15 +29,15 @@
 fn a_target_drained_by_an_operator_gets_no_new_work() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     assert!(gets_work(&fleet, 1));
-    let running = fleet.start(0, fleet.read("/long?size=1000&us=800000"));
-    let admin = fleet.place(1).admin;
+    let running = fleet.start_call(0, fleet.get_request("/long?size=1000&us=800000"));
+    let admin = fleet.addresses(1).admin;
     let drain = |on| {
         fleet.runtime.block_on(fetch("POST", admin, &format!("/drain?target=target-1&on={on}")))
     };
     assert_eq!(drain(true).expect("drain").0, 200);
     // The guard refuses from that moment, whatever the entries have heard.
     assert!(!gets_work(&fleet, 1));
-    assert_eq!(fleet.join(running).verdict, Verdict::Complete);
+    assert_eq!(fleet.join_call(running).verdict, Verdict::Complete);
     assert_eq!(drain(false).expect("undo").0, 200);
     eventually("the target gets work again", || gets_work(&fleet, 1));
 }
@@ -43,14 +45,15 @@
 #[test]
 fn a_target_that_says_it_drains_gets_no_new_work() {
     let fleet = TestFleet::spawn(FleetPlan::default());
-    let long: Vec<_> =
-        (0..3).map(|_| fleet.start(0, fleet.read("/long?size=1000&us=3000000"))).collect();
+    let long: Vec<_> = (0..3)
+        .map(|_| fleet.start_call(0, fleet.get_request("/long?size=1000&us=3000000")))
+        .collect();
     std::thread::sleep(Duration::from_millis(100));
     fleet.targets[2].behave(|behaviour| "draining".clone_into(&mut behaviour.condition));
     std::thread::sleep(BOUND);
     assert!(!gets_work(&fleet, 2));
     for call in long {
-        assert_eq!(fleet.join(call).verdict, Verdict::Complete);
+        assert_eq!(fleet.join_call(call).verdict, Verdict::Complete);
     }
 }
 
@@ -83,18 +86,18 @@
         let calls: Vec<_> = (0..24)
             .map(|number| {
                 let path = format!("/stop/{stopped}/{number}?size=300000&us=300000");
-                fleet.start(stopped + number % (3 - stopped), fleet.read(&path))
+                fleet.start_call(stopped + number % (3 - stopped), fleet.get_request(&path))
             })
             .collect();
         std::thread::sleep(Duration::from_millis(150));
         fleet.daemons[stopped].terminate().expect("terminate");
         for call in calls {
-            let report = fleet.join(call);
+            let report = fleet.join_call(call);
             assert!(matches!(report.verdict, Verdict::Complete | Verdict::NotRun), "{report:?}");
         }
-        let status = fleet.daemons[stopped].wait(LIMIT).expect("wait");
+        let status = fleet.daemons[stopped].wait(WAIT_TIMEOUT).expect("wait");
         assert!(status.is_some_and(|status| status.success()), "{status:?}");
-        let report = fleet.call(2, &fleet.read("/after?size=100"));
+        let report = fleet.call(2, &fleet.get_request("/after?size=100"));
         assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
     }
 }
@@ -102,13 +105,13 @@
 #[test]
 fn a_stopped_guard_finishes_and_records_what_must_not_repeat() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
-    let call = fleet.post("k", "/bulletin?size=100&us=500000");
-    let first = fleet.start(0, call.clone());
-    eventually("the call runs", || fleet.ran_on("k").is_some());
-    let guard = fleet.ran_on("k").expect("ran");
+    let call = fleet.post_request("k", "/bulletin?size=100&us=500000");
+    let first = fleet.start_call(0, call.clone());
+    eventually("the call runs", || fleet.target_that_ran("k").is_some());
+    let guard = fleet.target_that_ran("k").expect("ran");
     fleet.daemons[guard].terminate().expect("terminate");
-    assert_eq!(fleet.join(first).verdict, Verdict::Complete);
-    fleet.daemons[guard].wait(LIMIT).expect("wait").expect("stopped");
+    assert_eq!(fleet.join_call(first).verdict, Verdict::Complete);
+    fleet.daemons[guard].wait(WAIT_TIMEOUT).expect("wait").expect("stopped");
     let repeat = fleet.call((guard + 1) % 3, &call);
     assert_eq!((repeat.verdict, repeat.recorded), (Verdict::Complete, true), "{repeat:?}");
 }
@@ -117,10 +120,10 @@
 fn a_stop_has_the_bound_that_the_operator_set() {
     let mut fleet =
         TestFleet::spawn(FleetPlan { hosts: 1, stop_bound_ms: 300, ..FleetPlan::default() });
-    let call = fleet.start(0, fleet.read("/endless?size=10&us=30000000"));
+    let call = fleet.start_call(0, fleet.get_request("/endless?size=10&us=30000000"));
     std::thread::sleep(Duration::from_millis(100));
     fleet.daemons[0].terminate().expect("terminate");
-    let status = fleet.daemons[0].wait(LIMIT).expect("wait");
+    let status = fleet.daemons[0].wait(WAIT_TIMEOUT).expect("wait");
     assert!(status.is_some(), "the stop waited for an endless call");
-    assert_ne!(fleet.join(call).verdict, Verdict::NotRun);
+    assert_ne!(fleet.join_call(call).verdict, Verdict::NotRun);
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -5,33 +5,33 @@
 use std::time::Duration;
 
 use common::eventually;
-use common::hosted::{HostedFleet, SAFE};
+use common::hosted::{HostedFleet, SAFE_PREFIX};
 use railspan_standins::FaultyLink;
 
-const WORK: Duration = Duration::from_millis(5);
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
 #[test]
 fn a_silent_connection_to_a_guard_is_given_up() {
     let runtime = tokio::runtime::Runtime::new().expect("runtime");
     let guard = FaultyLink::bind(runtime.handle(), false).expect("link");
     let peer = FaultyLink::bind(runtime.handle(), true).expect("link");
-    let mut fleet = HostedFleet::spawn(2, WORK);
+    let mut fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.daemons[1].kill().expect("kill");
-    fleet.daemons[1] = fleet.start_daemon_behind(1, guard.address(), peer.address());
+    fleet.daemons[1] = fleet.start_daemon_advertising(1, guard.address(), peer.address());
     guard.lead_to(fleet.daemons[1].place().guard);
     peer.lead_to(fleet.daemons[1].place().peer);
     fleet.targets[1].report_to(fleet.control(1));
-    fleet.wait_known(0, 2);
+    fleet.wait_for_targets(0, 2);
     assert_eq!(fleet.targets[0].leave(fleet.control(0)).expect("leave"), 200);
-    fleet.wait_known(0, 1);
-    assert_eq!(fleet.call(0, SAFE, "before").expect("answer").status, 200);
+    fleet.wait_for_targets(0, 1);
+    assert_eq!(fleet.call(0, SAFE_PREFIX, "before").expect("answer").status, 200);
     guard.silence();
-    let lost = fleet.call_within(0, SAFE, "lost", 800).expect("answer");
+    let lost = fleet.call_with_deadline(0, SAFE_PREFIX, "lost", 800).expect("answer");
     assert_eq!(lost.status, 504, "a silent connection answered");
     let mut number = 0;
     eventually("calls on a new connection", || {
         number += 1;
-        let answer = fleet.call_within(0, SAFE, &format!("after{number}"), 800);
+        let answer = fleet.call_with_deadline(0, SAFE_PREFIX, &format!("after{number}"), 800);
         answer.is_some_and(|answer| answer.status == 200)
     });
 }
