--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,6 @@
-//! Promises: not run means not run; what must not repeat runs at most once.
+//! A call that was reported as not run never runs, and a call with an idempotency key
+//! runs at most once: while entries, guards or the store fail between the claim of the
+//! key, the run and the record of its answer.
 
 mod common;
 
@@ -7,15 +9,15 @@
 use common::{FleetPlan, OTHER_TOKEN, TestFleet, eventually};
 use railspan_standins::Verdict;
 
-/// Time of a call that something is to happen to, in microseconds.
-const LONG_US: u64 = 400_000;
+/// Time that a target takes for a call during which a process fails, in microseconds.
+const LONG_CALL_US: u64 = 400_000;
 
-fn long(key: &str) -> String {
-    format!("/long/{key}?size=100&us={LONG_US}")
+fn long_call_path(key: &str) -> String {
+    format!("/long/{key}?size=100&us={LONG_CALL_US}")
 }
 
 #[test]
-fn a_repeat_gets_the_recorded_answer() {
+fn a_repeated_call_gets_the_recorded_answer() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     let call = fleet.post_request("k", "/bulletin?size=700");
     let first = fleet.call(0, &call);
@@ -28,12 +30,13 @@
 }
 
 #[test]
-fn a_body_too_long_to_record_is_never_replaced_by_an_empty_one() {
+fn a_repeat_is_refused_where_the_answer_was_too_long_to_record() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     let call = fleet.post_request("k", "/bulletin?size=50000");
     assert_eq!(fleet.call(0, &call).verdict, Verdict::Complete);
     eventually("the outcome is recorded", || {
         let repeat = fleet.call(1, &call);
+        // An empty body would be taken for the complete answer.
         assert_ne!(repeat.verdict, Verdict::Wrong, "{repeat:?}");
         repeat.status == 409 && repeat.reason == "body_not_recorded"
     });
@@ -41,16 +44,16 @@
 }
 
 #[test]
-fn a_key_is_of_one_account_and_one_request() {
+fn an_idempotency_key_belongs_to_one_account_and_one_request() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     let call = fleet.post_request("k", "/bulletin?size=700");
     assert_eq!(fleet.call(0, &call).verdict, Verdict::Complete);
-    // Another account with the same key runs its own call and sees nothing.
-    let mut foreign = call.clone();
-    OTHER_TOKEN.clone_into(&mut foreign.token);
-    let report = fleet.call(1, &foreign);
+    // The same key of another account is another call, which doesn't get the record.
+    let mut other_account = call.clone();
+    OTHER_TOKEN.clone_into(&mut other_account.token);
+    let report = fleet.call(1, &other_account);
     assert_eq!((report.verdict, report.recorded), (Verdict::Complete, false));
-    // The same account with another request is told so.
+    // The same account can't use the key for another request.
     let mut changed = call;
     changed.body = b"something else".to_vec();
     let report = fleet.call(1, &changed);
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn what_must_not_repeat_needs_a_key() {
+fn a_post_without_a_valid_idempotency_key_is_refused() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let mut call = fleet.post_request("k", "/bulletin?size=10");
     call.key = None;
@@ -71,15 +74,15 @@
 }
 
 #[test]
-fn a_repeat_after_the_entry_died_gets_the_outcome() {
+fn a_repeat_after_a_crash_of_the_entry_gets_the_recorded_answer() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
     for round in 0..3 {
         let key = format!("k{round}");
-        let call = fleet.post_request(&key, &long(&key));
+        let call = fleet.post_request(&key, &long_call_path(&key));
         let first = fleet.start_call(0, call.clone());
         eventually("the call runs", || fleet.target_that_ran(&key).is_some());
         if fleet.target_that_ran(&key) == Some(0) {
-            // Its own guard ran it: the entry's death is the guard's too.
+            // The guard of the same daemon ran it and would crash with the entry.
             assert_eq!(fleet.join_call(first).verdict, Verdict::Complete);
             continue;
         }
@@ -93,9 +96,9 @@
 }
 
 #[test]
-fn a_repeat_after_the_guard_died_never_runs_twice() {
+fn a_repeat_after_a_crash_of_the_guard_does_not_run_again() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
-    let call = fleet.post_request("k", &long("k"));
+    let call = fleet.post_request("k", &long_call_path("k"));
     let first = fleet.start_call(0, call.clone());
     eventually("the call runs", || fleet.target_that_ran("k").is_some());
     let guard = fleet.target_that_ran("k").expect("ran");
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn two_entries_with_one_key_run_it_once() {
+fn concurrent_calls_with_one_key_through_several_entries_run_once() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     for round in 0..20 {
         let key = format!("k{round}");
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn while_the_table_is_down_nothing_runs_and_reads_go_on() {
+fn while_the_store_is_down_posts_do_not_run_and_reads_are_served() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     fleet.set_faults(|faults| faults.down = true);
     for number in 0..5 {
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn a_slow_table_loses_and_doubles_nothing() {
+fn a_slow_store_neither_loses_nor_duplicates_a_call() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     fleet.set_faults(|faults| faults.slow_ms = 1_000);
     let call = fleet.post_request("k", "/bulletin?size=100");
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn a_claim_whose_answer_is_lost_is_settled() {
+fn a_claim_whose_answer_from_the_store_is_lost_runs_once() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     for round in 0..6 {
         let key = format!("k{round}");
@@ -178,9 +181,9 @@
 }
 
 #[test]
-fn a_frozen_guard_that_wakes_does_not_run_what_was_told_not_run() {
+fn a_resumed_guard_does_not_run_calls_reported_as_not_run() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, slots: 1, ..FleetPlan::default() });
-    // One long call in each target, so that the next ones wait in the guards.
+    // One long call occupies each target, so that the next calls wait in the guards.
     let busy: Vec<_> = (0..2)
         .map(|n| fleet.start_call(0, fleet.get_request(&format!("/busy/{n}?size=10&us=1500000"))))
         .collect();
@@ -204,23 +207,23 @@
     for (number, report) in reports {
         let runs = fleet.runs(&format!("k{number}")).len();
         if report.verdict == Verdict::NotRun {
-            assert_eq!(runs, 0, "call {number} ran although: {report:?}");
+            assert_eq!(runs, 0, "call {number} ran in spite of its report: {report:?}");
         }
         assert!(runs <= 1);
     }
 }
 
 #[test]
-fn a_holder_frozen_long_after_its_claim_stays_the_only_one() {
+fn a_suspended_claim_holder_keeps_its_claim() {
     let fleet = TestFleet::spawn(FleetPlan::default());
-    let mut call = fleet.post_request("k", &long("k"));
+    let mut call = fleet.post_request("k", &long_call_path("k"));
     call.deadline_ms = 1_000;
     let first = fleet.start_call(0, call.clone());
     eventually("the call runs", || fleet.target_that_ran("k").is_some());
     let guard = fleet.target_that_ran("k").expect("ran");
     fleet.daemons[guard].freeze().expect("freeze");
     let other = (guard + 1) % 3;
-    // Everybody else takes the frozen one for dead before it wakes.
+    // The others consider the suspended daemon dead before it is resumed.
     for _ in 0..5 {
         let report = fleet.call(other, &call);
         assert_eq!(report.verdict, Verdict::Unknown, "{report:?}");
@@ -234,10 +237,10 @@
 }
 
 #[test]
-fn a_restarted_daemon_refuses_what_was_meant_for_its_former_life() {
+fn calls_meant_for_a_former_incarnation_of_a_daemon_run_at_most_once() {
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.daemons[1].kill().expect("kill");
-    // The new life has a new incarnation; its target announces itself again.
+    // The daemon comes back as a new incarnation, at other addresses.
     fleet.daemons[1] = fleet.start_daemon(1, &[]);
     for number in 0..10 {
         let key = format!("k{number}");
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Any bytes at any boundary: a clear error, no panic, nothing else disturbed.
+//! Properties of the input boundaries: arbitrary bytes are decoded or refused without a
+//! panic, findings lie inside the file, and revisions and policies keep their invariants.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -16,21 +17,21 @@
 const TEMPLATE: &str = include_str!("../examples/fundacion.jsonc");
 const SETTINGS: &str = include_str!("../examples/settings.jsonc");
 
-/// Cuts, doubles or changes a part of a good file.
-fn spoil(text: &str, at: usize, length: usize, put: &str) -> String {
+/// Replaces `length` characters of a valid file from `at` on, modulo its length.
+fn corrupt(text: &str, at: usize, length: usize, replacement: &str) -> String {
     let chars: Vec<char> = text.chars().collect();
     let start = at % chars.len();
     let end = (start + length).min(chars.len());
     let head: String = chars[..start].iter().collect();
     let tail: String = chars[end..].iter().collect();
-    format!("{head}{put}{tail}")
+    format!("{head}{replacement}{tail}")
 }
 
 proptest! {
     #![proptest_config(seeded(500))]
 
     #[test]
-    fn peer_messages_of_any_bytes_are_refused_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn peer_messages_of_arbitrary_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         drop(decode::<CallHead>(&bytes));
         drop(decode::<AnswerHead>(&bytes));
         drop(decode::<RevokeHead>(&bytes));
@@ -40,51 +41,53 @@
     }
 
     #[test]
-    fn spoiled_files_give_findings_inside_the_file(at: usize, length in 0_usize..40, put in "[ -~\n]{0,12}") {
-        let template = spoil(TEMPLATE, at, length, &put);
+    fn corrupted_files_give_findings_inside_the_file(at: usize, length in 0_usize..40, replacement in "[ -~\n]{0,12}") {
+        let template = corrupt(TEMPLATE, at, length, &replacement);
         if let Err(findings) = FleetConfig::parse("t", &template) {
             prop_assert!(!findings.0.is_empty());
             let lines = template.lines().count().max(1) + 1;
             prop_assert!(findings.0.iter().all(|finding| finding.position.line <= lines));
         }
-        let settings = spoil(SETTINGS, at, length, &put);
+        let settings = corrupt(SETTINGS, at, length, &replacement);
         if let Err(findings) = DaemonSettings::parse("s", &settings) {
             prop_assert!(!findings.0.is_empty());
         }
     }
 
-    /// Heads and bodies in any order: the number never falls, bodies must fit.
+    /// Announced heads and bodies come in any order. The number of the adopted revision
+    /// never decreases, and a body is adopted only if its hash is the one in the head.
     #[test]
-    fn a_revision_never_falls(steps in proptest::collection::vec((0_u64..20, any::<bool>(), any::<bool>()), 1..60)) {
+    fn the_adopted_revision_never_decreases(steps in proptest::collection::vec((0_u64..20, any::<bool>(), any::<bool>()), 1..60)) {
         let mut state = RevisionState::default();
         let body = br#"{"services":[],"accounts":[]}"#;
-        let good = blake3::hash(body).to_hex().to_string();
-        for (revision, fits, hear) in steps {
+        let body_hash = blake3::hash(body).to_hex().to_string();
+        for (revision, hash_matches, announced) in steps {
             let before = state.number();
             let head = RevisionHead {
                 revision,
-                hash: if fits { good.clone() } else { "00".to_owned() },
+                hash: if hash_matches { body_hash.clone() } else { "00".to_owned() },
                 publish: String::new(),
                 operator: String::new(),
             };
-            if hear {
+            if announced {
                 state.note_head(&head);
             }
             match state.adopt(&head, body).map(|active| active.head.revision) {
                 Ok(adopted) => {
-                    prop_assert!(fits && adopted == revision && revision > before);
+                    prop_assert!(hash_matches && adopted == revision && revision > before);
                 }
                 Err(AdoptError::Older) => prop_assert!(revision <= before),
-                Err(AdoptError::WrongHash) => prop_assert!(!fits),
+                Err(AdoptError::WrongHash) => prop_assert!(!hash_matches),
                 Err(AdoptError::Unreadable) => prop_assert!(false, "the body is readable"),
             }
             prop_assert!(state.number() >= before);
         }
     }
 
-    /// Every policy chooses among the untried, and leaves the ejected alone.
+    /// Every policy chooses an untried target, and an ejected one only where all untried
+    /// targets are ejected.
     #[test]
-    fn policies_choose_what_may_be_chosen(
+    fn policies_choose_untried_targets_that_are_not_ejected(
         count in 1_usize..12,
         tried in proptest::collection::vec(0_usize..12, 0..12),
         failing in proptest::collection::vec(0_usize..12, 0..6),
@@ -105,32 +108,33 @@
             let policy = policy(name).expect("registered");
             let chosen = service.choose(MicroTime(1), policy, &names, &mut rng);
             let untried: Vec<usize> = (0..count).filter(|index| !tried.contains(index)).collect();
-            let calm = untried.iter().any(|index| !failing.contains(index));
+            let any_healthy = untried.iter().any(|index| !failing.contains(index));
             match chosen {
                 None => prop_assert!(untried.is_empty()),
                 Some(index) => {
                     prop_assert!(untried.contains(&index));
-                    prop_assert!(!calm || !failing.contains(&index), "{name} chose an ejected one");
+                    prop_assert!(!any_healthy || !failing.contains(&index), "{name} chose an ejected target");
                 }
             }
         }
     }
 }
 
-/// A target that was slow once is tried again, also where nothing else is busy.
+/// A policy that never chose a target again after one slow report would never learn that
+/// the target recovered, as a faster one is always free.
 #[test]
-fn what_was_slow_long_ago_is_tried_again() {
+fn a_target_that_was_slow_is_chosen_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let record = |name: &str| TargetRecord::new(name.into(), None, 4, MicroTime(0));
     let mut service = ServiceTargets::new(vec![record("slow"), record("fast")]);
-    let word = |service_us, sequence, reported_at| railspan::LoadReport {
+    let report = |service_us, sequence, reported_at| railspan::LoadReport {
         slots: 4,
         service_us,
         sequence,
         reported_at,
         ..railspan::LoadReport::default()
     };
-    service.targets[0].record_report(MicroTime(1), word(80_000, 1, MicroTime(1)));
+    service.targets[0].record_report(MicroTime(1), report(80_000, 1, MicroTime(1)));
     let mut chosen = [0, 0];
     for number in 1..600_u64 {
         let now = MicroTime::from_millis(number * 100);
@@ -138,7 +142,7 @@
         let index = service.choose(now, policy, &[], &mut rng).expect("a target");
         chosen[index] += 1;
         service.targets[index].finish(now, Some(MicroTime(8_000)), false);
-        service.targets[index].record_report(now, word(8_000, number + 1, now));
+        service.targets[index].record_report(now, report(8_000, number + 1, now));
     }
     assert!(chosen[0] > 100, "chosen {chosen:?}");
 }
