--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -1,4 +1,5 @@
-//! Callers and targets that misbehave: a clear answer, nothing else disturbed.
+//! Invalid calls and overloaded targets: each caller gets a definite answer, calls that
+//! were refused don't run, and later valid calls are served.
 
 mod common;
 
@@ -9,19 +10,19 @@
 use common::{FleetPlan, TOKEN, TestFleet};
 use railspan_standins::{CallRequest, Verdict};
 
-/// Bytes that a caller writes at a time.
-const WRITTEN_AT_ONCE: usize = 64 << 10;
+/// Bytes that the caller writes at a time.
+const WRITE_SIZE: usize = 64 << 10;
 
 #[test]
-fn bad_calls_are_told_so_and_do_not_run() {
+fn invalid_calls_are_refused_with_their_status_and_do_not_run() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let good = fleet.post_request("k", "/bulletin?size=10");
+    let valid = fleet.post_request("k", "/bulletin?size=10");
     let cases: [(&str, u16, CallRequest); 5] = [
-        ("unknown token", 401, CallRequest { token: "guess".to_owned(), ..good.clone() }),
-        ("unknown service", 404, CallRequest { service: "nowhere".to_owned(), ..good.clone() }),
-        ("no key", 400, CallRequest { key: None, ..good.clone() }),
-        ("body over 1 MiB", 413, CallRequest { body: vec![7; (1 << 20) + 1], ..good.clone() }),
-        ("no time left", 503, CallRequest { deadline_ms: 0, ..good.clone() }),
+        ("unknown token", 401, CallRequest { token: "guess".to_owned(), ..valid.clone() }),
+        ("unknown service", 404, CallRequest { service: "nowhere".to_owned(), ..valid.clone() }),
+        ("no key", 400, CallRequest { key: None, ..valid.clone() }),
+        ("body over 1 MiB", 413, CallRequest { body: vec![7; (1 << 20) + 1], ..valid.clone() }),
+        ("no time left", 503, CallRequest { deadline_ms: 0, ..valid.clone() }),
     ];
     for (name, status, call) in cases {
         let report = fleet.call(0, &call);
@@ -33,11 +34,11 @@
         assert!(report.retry_after_ms.is_some(), "{name}");
     }
     assert!(fleet.runs("k").is_empty());
-    assert_eq!(fleet.call(0, &good).verdict, Verdict::Complete);
+    assert_eq!(fleet.call(0, &valid).verdict, Verdict::Complete);
 }
 
 #[test]
-fn a_body_of_the_full_size_arrives_whole() {
+fn a_body_of_the_greatest_allowed_size_is_accepted() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let call =
         CallRequest { body: vec![7; 1 << 20], ..fleet.post_request("k", "/bulletin?size=10") };
@@ -45,14 +46,14 @@
 }
 
 #[test]
-fn what_a_target_sheds_is_its_answer_and_is_not_tried_again() {
+fn a_call_that_its_target_sheds_is_answered_with_the_targets_error() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, slots: 1, ..FleetPlan::default() });
-    // It says that it takes more at once than it does, and sheds the rest.
+    // The target announces more slots than it has, and answers 503 while one call waits.
     fleet.targets[0].behave(|behaviour| {
         behaviour.said_slots = Some(8);
         behaviour.shed_above = Some(0);
     });
-    common::eventually("the guard heard of the slots", || {
+    common::eventually("the guard knows the announced slots", || {
         let state = fleet.state(fleet.addresses(0).admin);
         state["guard"]["targets"][0]["announcement"]["slots"] == 8
     });
@@ -68,10 +69,11 @@
     assert!(verdicts.contains(&Verdict::TargetError), "{verdicts:?}");
 }
 
-/// A caller that reads nothing until its whole body is written: closing with unread
-/// bytes would reset the connection, and the answer with it.
+/// The caller reads nothing until it has written its whole body, which is too large. A
+/// daemon that closed the connection with unread bytes would reset it, and the caller
+/// would lose the answer.
 #[test]
-fn a_caller_that_still_writes_gets_the_answer() {
+fn a_caller_that_is_still_writing_gets_the_refusal() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let length = 4 << 20;
     let head = format!(
@@ -81,8 +83,8 @@
     );
     let mut socket = TcpStream::connect(fleet.addresses(0).caller).expect("connected");
     socket.write_all(head.as_bytes()).expect("head written");
-    let part = vec![7; WRITTEN_AT_ONCE];
-    for _ in 0..length / WRITTEN_AT_ONCE {
+    let part = vec![7; WRITE_SIZE];
+    for _ in 0..length / WRITE_SIZE {
         std::thread::sleep(Duration::from_millis(1));
         socket.write_all(&part).expect("the daemon reads on");
     }
--- a/tests/complete_answer.rs
+++ b/tests/complete_answer.rs
@@ -1,4 +1,5 @@
-//! Promise: the complete answer to one's own request, or a visible error.
+//! A caller gets the complete answer to its own request or a visible error, also while
+//! other calls are cancelled, a target cuts or overruns its body, or a guard crashes.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use railspan_standins::Verdict;
 
 #[test]
-fn answers_never_cross_while_others_are_cancelled() {
+fn no_caller_gets_the_answer_to_another_call_while_calls_are_cancelled() {
     let fleet = TestFleet::spawn(FleetPlan { service: "grillas", ..FleetPlan::default() });
     let calls: Vec<_> = (0..300)
         .map(|number| {
@@ -16,7 +17,7 @@
         })
         .collect();
     for (number, call) in calls {
-        // Every fifth caller goes away in the middle.
+        // Every fifth caller cancels its call.
         if number % 5 == 0 {
             call.abort();
             continue;
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_body_cut_by_the_target_is_visibly_broken() {
+fn a_body_that_the_target_cuts_off_is_a_visible_error() {
     let fleet =
         TestFleet::spawn(FleetPlan { hosts: 2, service: "grillas", ..FleetPlan::default() });
     for target in &fleet.targets {
@@ -40,20 +41,20 @@
     }
     for number in 0..10 {
         let report = fleet.call(0, &fleet.get_request(&format!("/cut/{number}?size=100000")));
-        // Which of the two depends on how much left the guard before the cut.
-        let visible = matches!(report.verdict, Verdict::Broken | Verdict::Unknown);
-        assert!(visible, "{report:?}");
+        // Which of the two depends on how much the guard had sent before the cut.
+        let is_visible_error = matches!(report.verdict, Verdict::Broken | Verdict::Unknown);
+        assert!(is_visible_error, "{report:?}");
     }
     for target in &fleet.targets {
         target.behave(|behaviour| behaviour.cut_after = None);
     }
-    eventually("whole answers again", || {
+    eventually("answers are complete again", || {
         fleet.call(0, &fleet.get_request("/whole?size=100000")).verdict == Verdict::Complete
     });
 }
 
 #[test]
-fn bytes_beyond_the_length_are_never_part_of_an_answer() {
+fn bytes_beyond_the_content_length_are_never_part_of_an_answer() {
     let fleet =
         TestFleet::spawn(FleetPlan { hosts: 1, service: "grillas", ..FleetPlan::default() });
     fleet.targets[0].behave(|behaviour| behaviour.extra = 50);
@@ -69,10 +70,10 @@
 }
 
 #[test]
-fn a_guard_killed_in_the_middle_of_a_body_breaks_the_answer() {
+fn a_guard_killed_while_it_streams_leaves_no_answer_that_looks_complete() {
     let mut fleet =
         TestFleet::spawn(FleetPlan { hosts: 2, service: "grillas", ..FleetPlan::default() });
-    // The answers stream while the guard of the second host dies.
+    // The guard of the second host is killed while answers are streamed.
     let calls: Vec<_> = (0..40)
         .map(|number| {
             fleet.start_call(0, fleet.get_request(&format!("/big/{number}?size=900000&us=30000")))
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Promise: a revision is in force everywhere, and never an older one after it.
+//! A published revision comes into force at every daemon, and no daemon falls back to an
+//! older one: while publishes race, daemons start or are suspended, or the platform fails.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use railspan::{PublishError, open_store};
 use railspan_standins::Verdict;
 
-fn everywhere(fleet: &TestFleet, revision: u64) -> bool {
+fn is_in_force_everywhere(fleet: &TestFleet, revision: u64) -> bool {
     fleet
         .daemons
         .iter()
@@ -14,36 +15,36 @@
 }
 
 #[test]
-fn a_revision_comes_in_force_everywhere() {
+fn a_revision_comes_into_force_everywhere() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     for expected in 2..5 {
         let head = fleet.publish(TEMPLATE).expect("publish");
         assert_eq!(head.revision, expected);
-        eventually("in force everywhere", || everywhere(&fleet, expected));
+        eventually("in force everywhere", || is_in_force_everywhere(&fleet, expected));
     }
 }
 
 #[test]
-fn racing_operators_one_wins_and_the_others_are_told_who() {
+fn one_of_several_racing_publishes_wins_and_the_others_learn_the_winner() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     let config = railspan::FleetConfig::parse("template", TEMPLATE).expect("template");
     let client = open_store(fleet.platform.address());
     let names = ["ana", "bima", "chen", "dipa"];
-    let race = names.map(|name| railspan::publish(&client, &config, name, Some(1)));
-    let ends = fleet.runtime.block_on(futures::future::join_all(race));
-    let won: Vec<_> = ends.iter().filter_map(|end| end.as_ref().ok()).collect();
-    assert_eq!(won.len(), 1, "{ends:?}");
-    for end in &ends {
-        if let Err(error) = end {
+    let publishes = names.map(|name| railspan::publish(&client, &config, name, Some(1)));
+    let results = fleet.runtime.block_on(futures::future::join_all(publishes));
+    let winners: Vec<_> = results.iter().filter_map(|result| result.as_ref().ok()).collect();
+    assert_eq!(winners.len(), 1, "{results:?}");
+    for result in &results {
+        if let Err(error) = result {
             let PublishError::Conflict { winner } = error else { panic!("{error}") };
-            assert_eq!(winner, won[0]);
+            assert_eq!(winner, winners[0]);
         }
     }
-    eventually("the winner's is in force", || everywhere(&fleet, 2));
+    eventually("the winner's revision is in force", || is_in_force_everywhere(&fleet, 2));
 }
 
 #[test]
-fn a_publish_whose_answer_is_lost_is_settled() {
+fn a_publish_whose_answer_is_lost_takes_effect_once_or_not_at_all() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     for _ in 0..3 {
         // The body's answer is lost first, then the head's.
@@ -63,18 +64,18 @@
 }
 
 #[test]
-fn a_fresh_daemon_takes_the_revision_of_its_peers_when_the_platform_is_down() {
+fn a_new_daemon_gets_the_revision_from_its_seeds_while_the_platform_is_down() {
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.publish(TEMPLATE).expect("publish");
-    eventually("in force everywhere", || everywhere(&fleet, 2));
+    eventually("in force everywhere", || is_in_force_everywhere(&fleet, 2));
     fleet.set_faults(|faults| faults.down = true);
-    let alone = fleet.start_daemon(8, &[]);
+    let unseeded = fleet.start_daemon(8, &[]);
     let seeded = fleet.start_daemon(9, &[fleet.addresses(0).peer, fleet.addresses(1).peer]);
     let admin = seeded.place().admin;
-    eventually("the seeded one serves by revision 2", || fleet.serving_revision(admin) == Some(2));
-    // The one that can ask nobody does not serve.
+    eventually("the seeded daemon serves revision 2", || fleet.serving_revision(admin) == Some(2));
+    // The daemon without seeds has no peer to ask and does not serve.
     let call = fleet.get_request("/r?size=10");
-    let report = fleet.runtime.block_on(fleet.client.call(alone.place().caller, &call));
+    let report = fleet.runtime.block_on(fleet.client.call(unseeded.place().caller, &call));
     assert_eq!(report.verdict, Verdict::NotRun, "{report:?}");
     fleet.daemons.push(seeded);
     fleet.wait_for_targets(2, 2);
@@ -83,16 +84,16 @@
 }
 
 #[test]
-fn a_body_the_object_store_lost_comes_from_a_peer() {
+fn a_revision_body_that_the_object_store_lost_comes_from_a_peer() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.set_faults(|faults| faults.objects_missing = true);
-    let fresh = fleet.start_daemon(9, &[]);
-    let admin = fresh.place().admin;
-    eventually("the fresh one serves", || fleet.serving_revision(admin) == Some(1));
+    let new_daemon = fleet.start_daemon(9, &[]);
+    let admin = new_daemon.place().admin;
+    eventually("the new daemon serves", || fleet.serving_revision(admin) == Some(1));
 }
 
 #[test]
-fn a_daemon_back_from_a_long_freeze_catches_up_and_never_falls_back() {
+fn a_resumed_daemon_catches_up_and_never_falls_back() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     fleet.daemons[2].freeze().expect("freeze");
     for _ in 0..3 {
@@ -103,21 +104,21 @@
         admins.iter().all(|&admin| fleet.serving_revision(admin) == Some(4))
     });
     fleet.daemons[2].thaw().expect("thaw");
-    let mut seen = 0;
+    let mut highest = 0;
     eventually("in force everywhere", || {
         for daemon in &fleet.daemons {
-            let revision = fleet.serving_revision(daemon.place().admin).unwrap_or(seen);
+            let revision = fleet.serving_revision(daemon.place().admin).unwrap_or(highest);
             assert!(revision >= 1);
         }
-        let own = fleet.serving_revision(fleet.addresses(2).admin).unwrap_or(0);
-        assert!(own >= seen, "fell from {seen} to {own}");
-        seen = own;
-        everywhere(&fleet, 4)
+        let revision = fleet.serving_revision(fleet.addresses(2).admin).unwrap_or(0);
+        assert!(revision >= highest, "fell back from {highest} to {revision}");
+        highest = revision;
+        is_in_force_everywhere(&fleet, 4)
     });
 }
 
 #[test]
-fn all_daemons_outlive_a_long_outage_of_the_platform() {
+fn all_daemons_serve_and_stop_during_an_outage_of_the_platform() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
     fleet.set_faults(|faults| faults.down = true);
     for number in 0..30 {
@@ -125,15 +126,16 @@
         assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
-    // Also a planned stop does not wait for the platform for ever.
+    // A planned stop doesn't wait for the platform without a bound either.
     fleet.daemons[0].terminate().expect("terminate");
     assert!(fleet.daemons[0].wait(WAIT_TIMEOUT).expect("wait").is_some());
 }
 
 #[test]
-fn daemons_that_start_together_find_each_other() {
+fn daemons_that_start_at_the_same_time_find_each_other() {
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 0, ..FleetPlan::default() });
-    // Slow enough that all reads of the table would overlap all writes.
+    // Slow enough that each daemon's first read of the store overlaps the writes of the
+    // others, whose rows it then misses.
     fleet.set_faults(|faults| faults.slow_ms = 300);
     for index in 0..4 {
         fleet.add_host(index);
