--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,20 +1,14 @@
-//! Promise: a request that ends the targets that run it stops reaching targets.
+//! A request that crashes the targets that run it must soon reach no more targets.
 //!
-//! What users saw: a read came again and again, with the same path, caller and body, at
-//! any host. Each copy ended the target that ran it, was tried again at a second target
-//! and ended that one, too. Targets were back after some seconds, and ended again: 17 in
-//! eight seconds, 10 of them later than three seconds after the third. A service of four
-//! targets refused all its other callers for as long as that went on.
+//! Without blame, copies of one read with the same path, caller and body, sent through any
+//! host, crashed one target after another, each copy a second one with its retry: 17 in
+//! eight seconds, 10 of them later than three seconds after the third. All other callers
+//! of a service of four targets were refused meanwhile. Each lost call was only the end of
+//! one attempt: no daemon kept a record of the requests that ran on the crashed target, or
+//! told the others.
 //!
-//! The order of events: a target ends; its guard sees connections break and says that
-//! the calls are lost; the entry tries a second target; the caller is told that nobody
-//! knows; the next copy comes at another host, whose daemon knows nothing of it.
-//!
-//! The cause: what ended a target was never asked. A lost call was an end of that one
-//! attempt, and no daemon kept which request had run there, let alone told others.
-//!
-//! The evidence: by the digests in the log, one request is among the lost calls of each
-//! target that ended, through several entries, and no other is in more than one.
+//! The digests in the log identify such a request: it is among the lost calls of every
+//! target that crashed, through several entries; any other request is in one at most.
 
 mod common;
 
@@ -23,35 +17,40 @@
 
 use common::hosted::{CrashingFleet, HostedFleet, SAFE_PREFIX};
 
-/// Targets that may end of one request before it is known: three tell it from what ran
-/// beside it.
-const CRASHES: usize = 3;
+/// Crashes after which a request is blamed: three distinguish it from the requests that
+/// only ran beside it.
+const CRASHES_UNTIL_BLAMED: usize = 3;
 
-/// Time from the third crash on in which further copies may still arrive, and how many
-/// may later: the users' bound.
-const STABILITY: Duration = Duration::from_secs(3);
-const LATER_COPIES: usize = 3;
+/// Time after the third crash in which any number of copies may still reach targets; a
+/// bound that the users set.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// How long copies keep coming.
-const LASTS: Duration = Duration::from_secs(9);
+/// Copies that may reach targets after [`SETTLING_TIME`]; a bound that the users set.
+const MAX_LATE_COPIES: usize = 3;
+
+/// Time during which copies are sent.
+const SENDING_TIME: Duration = Duration::from_secs(9);
 
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 
 #[test]
-fn a_request_that_ends_targets_reaches_few_of_them() {
+fn a_request_that_crashes_targets_reaches_few_of_them() {
     let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     let stop = AtomicBool::new(false);
-    let (mut innocent, mut denied) = (0, 0);
+    let (mut others_served, mut others_denied) = (0, 0);
     std::thread::scope(|scope| {
         scope.spawn(|| fleet.restart_crashed_targets(&stop));
         let copies = scope.spawn(|| {
-            let until = Instant::now() + LASTS;
+            let stop_at = Instant::now() + SENDING_TIME;
             for host in (0..4).cycle() {
-                if Instant::now() >= until {
+                if Instant::now() >= stop_at {
                     break;
                 }
                 let answer = fleet.send_crashing_request(host, &format!("copy-{host}"));
-                assert!(answer.is_none_or(|answer| answer.status != 200), "it never ends well");
+                assert!(
+                    answer.is_none_or(|answer| answer.status != 200),
+                    "a crashing request got an answer"
+                );
                 std::thread::sleep(Duration::from_millis(60));
             }
         });
@@ -60,40 +59,41 @@
             number += 1;
             let answer = fleet.call(number % 4, SAFE_PREFIX, &format!("read{number}"));
             let status = answer.map_or(0, |answer| answer.status);
-            innocent += usize::from(status == 200);
-            denied += usize::from((400..500).contains(&status));
+            others_served += usize::from(status == 200);
+            others_denied += usize::from((400..500).contains(&status));
             std::thread::sleep(Duration::from_millis(10));
         }
         stop.store(true, Ordering::Relaxed);
     });
-    let arrivals = fleet.crashing_run_times();
-    assert!(arrivals.len() >= CRASHES, "it was judged on {} runs", arrivals.len());
-    let third = arrivals[CRASHES - 1] + SERVICE_TIME;
-    let late = arrivals.iter().filter(|at| **at > third + STABILITY).count();
-    assert!(late <= LATER_COPIES, "{late} copies arrived later, of {}", arrivals.len());
-    assert!(innocent > 0, "others were served meanwhile");
-    assert_eq!(denied, 0, "calls of others that were denied");
+    let runs = fleet.crashing_run_times();
+    assert!(runs.len() >= CRASHES_UNTIL_BLAMED, "only {} runs crashed a target", runs.len());
+    let third_crash = runs[CRASHES_UNTIL_BLAMED - 1] + SERVICE_TIME;
+    let late = runs.iter().filter(|at| **at > third_crash + SETTLING_TIME).count();
+    assert!(late <= MAX_LATE_COPIES, "{late} of {} copies reached targets too late", runs.len());
+    assert!(others_served > 0, "no other call was served");
+    assert_eq!(others_denied, 0, "other calls that were denied");
 }
 
 #[test]
-fn all_targets_stay_once_it_is_known() {
+fn no_target_crashes_after_the_request_is_blamed() {
     let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| fleet.restart_crashed_targets(&stop));
-        // One copy at a time, so that each is sent with all that the fleet has learned.
+        // One copy at a time, so that the fleet has learned of the crash before it gets the
+        // next copy.
         for round in 0..40 {
             fleet.send_crashing_request(round % 4, &format!("copy-{round}"));
             std::thread::sleep(Duration::from_millis(150));
         }
         stop.store(true, Ordering::Relaxed);
     });
-    assert_eq!(fleet.crash_count(), CRASHES, "targets that ended");
+    assert_eq!(fleet.crash_count(), CRASHES_UNTIL_BLAMED, "targets that crashed");
 }
 
-/// A target that ends by itself takes others' calls with it; none of them is to blame.
+/// Calls that are lost with a target that crashes for another reason are not blamed.
 #[test]
-fn calls_that_run_beside_a_crash_are_served_afterwards() {
+fn calls_that_ran_during_a_crash_are_served_afterwards() {
     let fleet = HostedFleet::spawn(3, SERVICE_TIME);
     let paths = ["popular", "rare"];
     for round in 0..2 {
@@ -109,19 +109,19 @@
         });
     }
     for path in paths {
-        common::eventually("it is served", || {
+        common::eventually("the call is served", || {
             fleet.call(2, SAFE_PREFIX, path).is_some_and(|answer| answer.status == 200)
         });
     }
 }
 
-/// Plays copies one after the other until the request reaches no target.
-fn blame(fleet: &CrashingFleet) {
+/// Sends copies one after the other until every daemon blames the request.
+fn send_copies_until_blamed(fleet: &CrashingFleet) {
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| fleet.restart_crashed_targets(&stop));
         let mut copy = 0;
-        common::eventually("held back", || {
+        common::eventually("every daemon blames the request", || {
             copy += 1;
             let answer = fleet.send_crashing_request(copy % 4, &format!("copy-{copy}"));
             answer.is_some_and(|answer| answer.status == 503)
@@ -132,15 +132,15 @@
 }
 
 #[test]
-fn it_is_turned_away_at_once_and_truly_until_an_operator_lets_it_through() {
+fn a_blamed_request_is_refused_without_a_run_until_an_operator_forgives_it() {
     let fleet = CrashingFleet::spawn(4, SERVICE_TIME);
-    blame(&fleet);
-    let ran = fleet.crashing_run_times().len();
+    send_copies_until_blamed(&fleet);
+    let run_count = fleet.crashing_run_times().len();
     let answer = fleet.send_crashing_request(1, "late").expect("answer");
     assert_eq!(answer.status, 503);
-    assert!(!answer.headers.contains_key("retry-after"), "coming back does not help");
-    assert_eq!(fleet.crashing_run_times().len(), ran, "not run, as it says");
-    common::eventually("another path is another request", || {
+    assert!(!answer.headers.contains_key("retry-after"), "a retry cannot help");
+    assert_eq!(fleet.crashing_run_times().len(), run_count, "the refused request ran");
+    common::eventually("a request with another path is served", || {
         fleet.call(1, SAFE_PREFIX, "other").is_some_and(|answer| answer.status == 200)
     });
 
@@ -157,36 +157,38 @@
     let digest = line.split([' ', ',']).find(|word| word.len() == 32).expect("digest");
     assert!(railspan(&["forgive", digest]).contains("may reach targets again"));
     for host in 0..4 {
-        common::eventually("let through", || fleet.blamed_count(host) == 0);
+        common::eventually("the request is forgiven", || fleet.blamed_count(host) == 0);
     }
     drop(fleet.send_crashing_request(0, "again"));
-    assert!(fleet.crashing_run_times().len() > ran, "it was let through");
+    assert!(fleet.crashing_run_times().len() > run_count, "the forgiven request did not run");
 }
 
 #[test]
-fn it_stays_known_when_all_daemons_lose_power() {
+fn a_blamed_request_stays_blamed_when_all_daemons_are_killed() {
     let mut fleet = CrashingFleet::spawn(4, SERVICE_TIME);
-    blame(&fleet);
-    let ran = fleet.crashing_run_times().len();
-    common::eventually("kept", || fleet.stored_row_count("fleet-blame-") == 1);
+    send_copies_until_blamed(&fleet);
+    let run_count = fleet.crashing_run_times().len();
+    common::eventually("the blame is stored", || fleet.stored_row_count("fleet-blame-") == 1);
     fleet.restart_daemons();
     for host in 0..4 {
-        common::eventually("known again", || fleet.blamed_count(host) == 1);
+        common::eventually("the restarted daemon blames the request", || {
+            fleet.blamed_count(host) == 1
+        });
         let answer = fleet.send_crashing_request(host, &format!("after-{host}"));
         assert!(answer.is_none_or(|answer| answer.status == 503), "host-{host}");
     }
-    assert_eq!(fleet.crashing_run_times().len(), ran, "copies after the power came back");
+    assert_eq!(fleet.crashing_run_times().len(), run_count, "copies ran after the restart");
 }
 
-/// A guard that waited for heartbeats to stop took calls for a target that was gone and
-/// refused each. Heartbeats count for minutes here, so only what the guard finds out
-/// itself can end that.
+/// A guard that waited for the heartbeats to lapse accepted calls for a crashed target and
+/// refused each of them. Here heartbeats stay valid for minutes, so that only the guard's
+/// own observation of the broken connection can mark the target as not ready.
 #[test]
-fn a_target_that_is_gone_gets_no_calls_though_its_heartbeat_counts() {
+fn a_crashed_target_gets_no_calls_while_its_heartbeat_is_still_valid() {
     let terms = "heartbeat=60s,retry_budget_ratio=0.2,budget_slack=58,grace=6s";
     let fleet = HostedFleet::spawn_with_terms(2, SERVICE_TIME, terms);
     fleet.targets[0].end_on(SAFE_PREFIX);
-    common::eventually("one target left", || {
+    common::eventually("the crashed target is not ready", || {
         drop(fleet.call(1, SAFE_PREFIX, "any"));
         fleet.state(0)["guard"]["targets"][0]["ready"] == false
     });
