--- a/tests/fleet_report.rs
+++ b/tests/fleet_report.rs
@@ -1,4 +1,5 @@
-//! What operators are shown of a fleet of hundreds of hosts.
+//! The reports that operators get of a fleet: of hundreds of hosts, they must fit a screen
+//! and name every host that needs attention.
 
 use railspan::{
     HostCondition, HostStatus, MemberState, TargetStatus, render_status, render_targets,
@@ -7,11 +8,11 @@
 
 const HOSTS: usize = 295;
 
-/// Lines that fit a screen beside the operator's own.
+/// Lines of a report that fit a screen together with the operator's own.
 const SCREEN_LINES: usize = 50;
 
-/// A host that serves by the newest revision.
-fn host(number: usize) -> HostStatus {
+/// Returns a host that serves the newest revision.
+fn healthy_host(number: usize) -> HostStatus {
     HostStatus {
         host: format!("host-{number:03}").as_str().into(),
         data_centre: format!("ba-norte-{}", number % 5 + 1).as_str().into(),
@@ -27,15 +28,16 @@
 
 #[test]
 fn an_evacuated_data_centre_is_named() {
-    let mut hosts: Vec<HostStatus> = (0..10).map(host).collect();
+    let mut hosts: Vec<HostStatus> = (0..10).map(healthy_host).collect();
     hosts[0].evacuated = true;
     let text = railspan::render_status(&hosts, false);
+    // Every fifth host is in this data centre.
     assert!(text.contains("ba-norte-1 is evacuated, as 1 of 2 hosts there say"), "{text}");
 }
 
 #[test]
-fn a_request_that_is_held_back_is_named_once() {
-    let mut hosts: Vec<HostStatus> = (0..10).map(host).collect();
+fn a_blamed_request_is_named_once() {
+    let mut hosts: Vec<HostStatus> = (0..10).map(healthy_host).collect();
     hosts.iter_mut().take(4).for_each(|host| host.blamed = vec![railspan::RequestDigest(0xab)]);
     let text = railspan::render_status(&hosts, false);
     let digest = format!("{:032x}", 0xab);
@@ -43,7 +45,12 @@
     assert_eq!(text.matches(&digest).count(), 1, "{text}");
 }
 
-fn silent(mut host: HostStatus, daemon: MemberState, condition: HostCondition) -> HostStatus {
+/// Changes a host into one without an answer in this report.
+fn without_answer(
+    mut host: HostStatus,
+    daemon: MemberState,
+    condition: HostCondition,
+) -> HostStatus {
     host.daemon = daemon;
     host.condition = condition;
     host.revision = None;
@@ -51,14 +58,14 @@
     host
 }
 
-/// A few hosts of each kind that an operator has to see.
-fn troubled() -> Vec<HostStatus> {
-    let trouble = |number: usize| {
-        let mut host = host(number);
+/// Returns a fleet with one or two hosts in each condition that an operator has to see.
+fn fleet_with_faulty_hosts() -> Vec<HostStatus> {
+    let status_of = |number: usize| {
+        let mut host = healthy_host(number);
         match number {
-            7 => silent(host, MemberState::Alive, HostCondition::NoAnswer),
-            20 | 21 => silent(host, MemberState::Dead, HostCondition::Down),
-            30 => silent(host, MemberState::Left, HostCondition::Left),
+            7 => without_answer(host, MemberState::Alive, HostCondition::NoAnswer),
+            20 | 21 => without_answer(host, MemberState::Dead, HostCondition::Down),
+            30 => without_answer(host, MemberState::Left, HostCondition::Left),
             41 => {
                 host.revision = Some(11);
                 host
@@ -76,41 +83,44 @@
             _ => host,
         }
     };
-    (0..HOSTS).map(trouble).collect()
+    (0..HOSTS).map(status_of).collect()
 }
 
-fn half_gone() -> Vec<HostStatus> {
-    let gone = |number: usize| {
+/// Returns a fleet in which every other host is down.
+fn fleet_half_down() -> Vec<HostStatus> {
+    let status_of = |number: usize| {
         if number.is_multiple_of(2) {
-            silent(host(number), MemberState::Dead, HostCondition::Down)
+            without_answer(healthy_host(number), MemberState::Dead, HostCondition::Down)
         } else {
-            host(number)
+            healthy_host(number)
         }
     };
-    (0..HOSTS).map(gone).collect()
+    (0..HOSTS).map(status_of).collect()
 }
 
-fn case(name: &str) -> String {
+/// Reads an expected report from `tests/cases`.
+fn expected_report(name: &str) -> String {
     let path = format!("{}/tests/cases/{name}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(path).expect("case").trim_end().to_owned()
 }
 
-#[test_case(&troubled(), "status_troubled.txt"; "a few hosts differ")]
-#[test_case(&half_gone(), "status_half_gone.txt"; "half of the hosts are gone")]
+#[test_case(&fleet_with_faulty_hosts(), "status_troubled.txt"; "a few hosts differ")]
+#[test_case(&fleet_half_down(), "status_half_gone.txt"; "half of the hosts are down")]
 fn a_status_of_hundreds_of_hosts_fits_a_screen(hosts: &[HostStatus], expected: &str) {
     let text = render_status(hosts, false);
-    assert_eq!(text, case(expected));
+    assert_eq!(text, expected_report(expected));
     assert!(text.lines().count() <= SCREEN_LINES, "{text}");
 }
 
 #[test]
-fn a_status_lists_every_host_where_that_is_asked_for() {
-    let text = render_status(&troubled(), true);
+fn a_status_lists_every_host_on_request() {
+    let text = render_status(&fleet_with_faulty_hosts(), true);
     let named = (0..HOSTS).filter(|number| text.contains(&format!("host-{number:03} ")));
     assert_eq!(named.count(), HOSTS);
 }
 
-fn target(number: usize) -> TargetStatus {
+/// Returns a ready target on a host that is alive.
+fn ready_target(number: usize) -> TargetStatus {
     let service = ["avisos", "cuotas", "grillas", "grillas"][number % 4];
     TargetStatus {
         service: service.into(),
@@ -124,17 +134,17 @@
 }
 
 #[test]
-fn targets_of_a_large_fleet_are_summed_up_and_those_without_work_listed() {
-    let mut lines: Vec<TargetStatus> = (0..HOSTS).map(target).collect();
-    lines[8].ready = false;
-    lines[9].ready = false;
-    lines[9].daemon = MemberState::Dead;
-    let text = render_targets(&lines, false);
-    assert_eq!(text, case("targets_large.txt"));
+fn targets_of_a_large_fleet_are_summarised_and_those_that_are_not_ready_listed() {
+    let mut targets: Vec<TargetStatus> = (0..HOSTS).map(ready_target).collect();
+    targets[8].ready = false;
+    targets[9].ready = false;
+    targets[9].daemon = MemberState::Dead;
+    let text = render_targets(&targets, false);
+    assert_eq!(text, expected_report("targets_large.txt"));
     assert!(text.lines().count() <= SCREEN_LINES, "{text}");
-    let whole = render_targets(&lines, true);
+    let full_list = render_targets(&targets, true);
     assert_eq!(
-        (0..HOSTS).filter(|number| whole.contains(&format!("i-{number:03}"))).count(),
+        (0..HOSTS).filter(|number| full_list.contains(&format!("i-{number:03}"))).count(),
         HOSTS
     );
 }
--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -1,4 +1,5 @@
-//! Client accounts of a deployment: who a request is from, and how many it may make.
+//! Client accounts on the users' platform: API keys identify the account of a request, and
+//! its quota holds over all daemons together.
 
 mod common;
 
@@ -13,30 +14,36 @@
 const OTHER_KEY: &str = "82thhkmgjqnirth5mgjy";
 const FORMER_KEY: &str = "k31qqa9vv0c7d2mmz4xw";
 
-/// Terms under which a quota is kept to the request.
+/// Deployment terms without slack on quotas, so that they hold to the request.
 const TERMS: &str =
     "heartbeat=500ms,retry_budget_ratio=0.2,budget_slack=58,grace=6s,quota_window=5s";
 
-/// Makes a configuration with accounts and an open route beside the usual ones.
-fn with_accounts(version: u64, keys: &[&str], per_s: u64, burst: u64) -> String {
-    let mut written: Value =
-        serde_json::from_str(&platform_config(version, SERVICE)).expect("json");
-    written["tenants"] = json!([
+/// Makes a configuration with client accounts, and with a public route besides the others.
+fn config_with_accounts(version: u64, keys: &[&str], per_s: u64, burst: u64) -> String {
+    let mut config: Value = serde_json::from_str(&platform_config(version, SERVICE)).expect("json");
+    config["tenants"] = json!([
         {"name": "riga", "api_keys": keys, "priority": 0, "rate_per_s": per_s, "burst": burst},
         {"name": "jelgava", "api_keys": ["another key"]},
         {"name": "without any key", "api_keys": []},
         {"name": "without any key either", "api_keys": []},
     ]);
-    let paths = written["virtual_hosts"][0]["paths"].as_array_mut().expect("paths");
-    let mut open = paths[0].clone();
-    open["name"] = json!("open");
-    open["prefix"] = json!("/open/");
-    open["public"] = json!(true);
-    paths.push(open);
-    written.to_string()
+    let paths = config["virtual_hosts"][0]["paths"].as_array_mut().expect("paths");
+    let mut public = paths[0].clone();
+    public["name"] = json!("open");
+    public["prefix"] = json!("/open/");
+    public["public"] = json!(true);
+    paths.push(public);
+    config.to_string()
 }
 
-fn ask(fleet: &HostedFleet, index: usize, path: &str, key: Option<&str>, id: &str) -> HostedAnswer {
+/// Makes a request under an API key, with a forged account, to `path` followed by `id`.
+fn call_with_key(
+    fleet: &HostedFleet,
+    index: usize,
+    path: &str,
+    key: Option<&str>,
+    id: &str,
+) -> HostedAnswer {
     let bearer = key.map(|key| format!("Bearer {key}"));
     let mut headers = vec![
         ("Host", VIRTUAL_HOST),
@@ -49,60 +56,66 @@
     hosted_call(caller, "GET", &format!("{path}{id}"), &headers, b"").expect("answer")
 }
 
-/// Returns a header of the run of a request, if it ran and had it.
-fn header_of_run(fleet: &HostedFleet, id: &str, name: &str) -> Option<String> {
+/// Returns a header that a request had at the target that ran it, if any did.
+fn header_at_target(fleet: &HostedFleet, id: &str, name: &str) -> Option<String> {
     let runs = fleet.targets.iter().flat_map(railspan_standins::HostedTarget::runs);
-    let mut own = runs.filter(|run| run.headers.get("x-request-id").is_some_and(|own| own == id));
-    own.next()?.headers.get(name).cloned()
+    let mut runs =
+        runs.filter(|run| run.headers.get("x-request-id").is_some_and(|run_id| run_id == id));
+    runs.next()?.headers.get(name).cloned()
 }
 
-fn spawn(per_s: u64, burst: u64) -> HostedFleet {
+/// Starts a fleet and waits until a configuration with accounts is in force everywhere.
+fn spawn_with_accounts(per_s: u64, burst: u64) -> HostedFleet {
     let fleet = HostedFleet::spawn_with_terms(3, Duration::from_millis(2), TERMS);
-    fleet.platform.write_config(&with_accounts(8, &[KEY, FORMER_KEY], per_s, burst));
+    fleet.platform.write_config(&config_with_accounts(8, &[KEY, FORMER_KEY], per_s, burst));
     for index in 0..3 {
         eventually("the configuration in force", || {
-            ask(&fleet, index, "/open/", None, "warm").status == 200
+            call_with_key(&fleet, index, "/open/", None, "warm").status == 200
         });
     }
     fleet
 }
 
 #[test]
-fn a_target_learns_the_account_and_never_the_key() {
-    let fleet = spawn(0, 0);
-    assert_eq!(ask(&fleet, 0, SAFE_PREFIX, Some(KEY), "with-key").status, 200);
-    let account = header_of_run(&fleet, "with-key", "x-tenant-id");
-    assert_eq!(account.as_deref(), Some("riga"), "whatever the caller says of itself");
-    assert_eq!(header_of_run(&fleet, "with-key", "authorization"), None);
-    assert_eq!(ask(&fleet, 0, "/open/", Some(KEY), "open").status, 200);
-    assert_eq!(header_of_run(&fleet, "open", "authorization"), None);
-    assert_eq!(ask(&fleet, 1, SAFE_PREFIX, Some("no such key"), "unknown").status, 401);
+fn a_target_gets_the_account_and_never_the_key() {
+    let fleet = spawn_with_accounts(0, 0);
+    assert_eq!(call_with_key(&fleet, 0, SAFE_PREFIX, Some(KEY), "with-key").status, 200);
+    let account = header_at_target(&fleet, "with-key", "x-tenant-id");
+    assert_eq!(
+        account.as_deref(),
+        Some("riga"),
+        "the account that the caller claims was passed on"
+    );
+    assert_eq!(header_at_target(&fleet, "with-key", "authorization"), None);
+    assert_eq!(call_with_key(&fleet, 0, "/open/", Some(KEY), "open").status, 200);
+    assert_eq!(header_at_target(&fleet, "open", "authorization"), None);
+    assert_eq!(call_with_key(&fleet, 1, SAFE_PREFIX, Some("no such key"), "unknown").status, 401);
     assert_eq!(fleet.run_count("unknown"), 0);
-    // A target's own calls bear no key, and so no account.
-    assert_eq!(ask(&fleet, 1, SAFE_PREFIX, None, "inner").status, 200);
-    assert_eq!(header_of_run(&fleet, "inner", "x-tenant-id"), None);
+    // A call that a target makes itself has no key, and therefore no account.
+    assert_eq!(call_with_key(&fleet, 1, SAFE_PREFIX, None, "inner").status, 200);
+    assert_eq!(header_at_target(&fleet, "inner", "x-tenant-id"), None);
 }
 
 #[test]
-fn a_key_that_a_revision_took_away_is_soon_good_nowhere() {
-    let fleet = spawn(0, 0);
-    assert_eq!(ask(&fleet, 0, SAFE_PREFIX, Some(FORMER_KEY), "before").status, 200);
-    fleet.platform.write_config(&with_accounts(9, &[KEY, OTHER_KEY], 0, 0));
+fn a_key_that_a_revision_removes_is_soon_refused_everywhere() {
+    let fleet = spawn_with_accounts(0, 0);
+    assert_eq!(call_with_key(&fleet, 0, SAFE_PREFIX, Some(FORMER_KEY), "before").status, 200);
+    fleet.platform.write_config(&config_with_accounts(9, &[KEY, OTHER_KEY], 0, 0));
     for index in 0..3 {
-        eventually("the key is not good", || {
-            ask(&fleet, index, SAFE_PREFIX, Some(FORMER_KEY), "after").status == 401
+        eventually("the removed key is refused", || {
+            call_with_key(&fleet, index, SAFE_PREFIX, Some(FORMER_KEY), "after").status == 401
         });
-        assert_eq!(ask(&fleet, index, SAFE_PREFIX, Some(OTHER_KEY), "new").status, 200);
+        assert_eq!(call_with_key(&fleet, index, SAFE_PREFIX, Some(OTHER_KEY), "new").status, 200);
     }
 }
 
 #[test]
-fn two_accounts_with_one_key_are_refused_and_the_key_is_not_told() {
-    let fleet = spawn(0, 0);
-    fleet.platform.write_config(&with_accounts(9, &["another key"], 0, 0));
-    fleet.platform.write_config(&with_accounts(10, &[OTHER_KEY], 0, 0));
-    eventually("the next one is in force", || {
-        ask(&fleet, 0, SAFE_PREFIX, Some(OTHER_KEY), "after").status == 200
+fn a_configuration_with_one_key_for_two_accounts_is_refused_and_no_key_is_shown() {
+    let fleet = spawn_with_accounts(0, 0);
+    fleet.platform.write_config(&config_with_accounts(9, &["another key"], 0, 0));
+    fleet.platform.write_config(&config_with_accounts(10, &[OTHER_KEY], 0, 0));
+    eventually("the next configuration is in force", || {
+        call_with_key(&fleet, 0, SAFE_PREFIX, Some(OTHER_KEY), "after").status == 200
     });
     for index in 0..3 {
         let state = fleet.state(index).to_string();
@@ -110,22 +123,24 @@
     }
 }
 
-/// Two hundred requests at once against sixty: those over the quota are told so at once,
-/// and when to come back.
+/// The account makes 200 requests against a burst of 60. Requests over the quota are refused
+/// at once, with the time after which to retry.
 #[test]
 fn an_account_gets_its_quota_over_all_daemons_together() {
-    let fleet = spawn(1, 60);
-    // The burst gathers a request a second; until then little may pass.
+    let fleet = spawn_with_accounts(1, 60);
+    // The burst grows by one request a second, so that few requests pass at first.
     let mut passed = 0;
     for number in 0..200 {
-        let answer = ask(&fleet, number % 3, SAFE_PREFIX, Some(KEY), &format!("of-{number}"));
+        let answer =
+            call_with_key(&fleet, number % 3, SAFE_PREFIX, Some(KEY), &format!("of-{number}"));
         match answer.status {
             200 => passed += 1,
-            429 => assert!(answer.headers.contains_key("retry-after"), "when to come back"),
+            429 => assert!(answer.headers.contains_key("retry-after"), "no retry-after header"),
             other => panic!("status {other}"),
         }
     }
-    let since_start = 60;
-    assert!(passed <= since_start + 60, "{passed} passed");
-    assert_eq!(ask(&fleet, 0, "/open/", Some(KEY), "not-counted").status, 200);
+    // The rate of one request a second allows at most these, if the test takes a minute.
+    let allowed_by_rate = 60;
+    assert!(passed <= allowed_by_rate + 60, "{passed} passed");
+    assert_eq!(call_with_key(&fleet, 0, "/open/", Some(KEY), "not-counted").status, 200);
 }
