--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -128,7 +128,7 @@
 #[test]
 fn an_account_gets_its_quota_over_all_daemons_together() {
     let fleet = spawn_with_accounts(1, 60);
-    // The burst grows by one request a second, so that few requests pass at first.
+    // New quota windows count as used up, so that few requests may pass at first.
     let mut passed = 0;
     for number in 0..200 {
         let answer =
--- a/tests/hosted_calls.rs
+++ b/tests/hosted_calls.rs
@@ -1,4 +1,5 @@
-//! Calls on the users' platform: what targets see, and what becomes of faults.
+//! Calls on the users' platform: what targets receive, and what callers get when a target
+//! fails, declines a request, or breaks the protocol.
 
 mod common;
 
@@ -10,12 +11,12 @@
 
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-fn set_all(fleet: &HostedFleet, mood: &HostedMood) {
+fn set_all_moods(fleet: &HostedFleet, mood: &HostedMood) {
     fleet.targets.iter().for_each(|target| target.set_mood(mood.clone()));
 }
 
 #[test]
-fn a_call_reaches_its_target_unchanged_but_for_the_systems_own_headers() {
+fn a_call_reaches_its_target_unchanged_except_for_the_headers_that_the_daemon_sets() {
     let fleet = HostedFleet::spawn(3, SERVICE_TIME);
     for prefix in [SAFE_PREFIX, UNSAFE_PREFIX] {
         let id = format!("plain{}", prefix.trim_matches('/'));
@@ -30,28 +31,28 @@
         assert_eq!(run.headers["host"], common::hosted::VIRTUAL_HOST);
         assert_eq!(run.headers["x-caller-service"], SERVICE);
         assert!(run.headers["x-target-instance"].starts_with("i-"));
-        let left: u64 = run.headers["x-deadline-ms"].parse().expect("number");
-        assert!(left <= 2_000, "left {left}");
+        let remaining_ms: u64 = run.headers["x-deadline-ms"].parse().expect("number");
+        assert!(remaining_ms <= 2_000, "{remaining_ms} ms remaining");
     }
 }
 
 #[test_case(&HostedMood::LoseAnswer; "lost")]
-#[test_case(&HostedMood::Foreign; "under another id")]
+#[test_case(&HostedMood::Foreign; "with another request id")]
 #[test_case(&HostedMood::Unsigned; "without its signature")]
-#[test_case(&HostedMood::Truncate; "cut short")]
-fn an_answer_that_is_none_is_never_delivered_and_a_write_runs_once(mood: &HostedMood) {
+#[test_case(&HostedMood::Truncate; "truncated")]
+fn an_invalid_answer_is_not_delivered_and_its_write_runs_once(mood: &HostedMood) {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
-    set_all(&fleet, mood);
+    set_all_moods(&fleet, mood);
     for number in 0..4 {
         let id = format!("write{number}");
-        let answer = fleet.call(0, UNSAFE_PREFIX, &id).expect("an answer of the system's own");
+        let answer = fleet.call(0, UNSAFE_PREFIX, &id).expect("the daemon's own answer");
         assert!(matches!(answer.status, 502 | 504), "status {}", answer.status);
         assert_eq!(fleet.run_count(&id), 1);
     }
 }
 
 #[test]
-fn a_lost_read_is_tried_at_another_target() {
+fn a_read_whose_answer_is_lost_is_retried_at_another_target() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::LoseAnswer);
     let served = (0..6).filter(|number| {
@@ -61,21 +62,21 @@
     assert_eq!(served.count(), 6);
 }
 
-#[test_case(&HostedMood::Decline; "full")]
-#[test_case(&HostedMood::OtherTarget; "another target")]
-fn what_no_target_ran_is_refused_with_a_time_to_come_back(mood: &HostedMood) {
+#[test_case(&HostedMood::Decline; "declined")]
+#[test_case(&HostedMood::OtherTarget; "meant for another target")]
+fn a_call_that_no_target_ran_is_refused_with_a_retry_time(mood: &HostedMood) {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
-    set_all(&fleet, mood);
+    set_all_moods(&fleet, mood);
     let answer = fleet.call(0, UNSAFE_PREFIX, "refused").expect("answer");
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.headers["retry-after"].parse().expect("seconds");
     assert!(seconds > 0.0 && seconds < 2.0, "retry after {seconds}");
-    assert!(answer.took < Duration::from_secs(1), "held back for {:?}", answer.took);
+    assert!(answer.took < Duration::from_secs(1), "refused only after {:?}", answer.took);
     assert_eq!(fleet.run_count("refused"), 0);
 }
 
 #[test]
-fn a_second_answer_on_a_connection_belongs_to_no_call() {
+fn an_unexpected_second_answer_on_a_connection_is_delivered_to_no_caller() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::Twice);
     for number in 0..10 {
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_failure_of_a_target_is_delivered_as_it_is() {
+fn an_error_answer_of_a_target_is_delivered_unchanged() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::Fail);
     let answer = fleet.call(0, UNSAFE_PREFIX, "failed").expect("answer");
@@ -96,16 +97,16 @@
 }
 
 #[test]
-fn a_call_past_its_time_gets_its_answer_at_once() {
+fn a_call_that_runs_past_its_deadline_is_answered_at_the_deadline() {
     let fleet = HostedFleet::spawn(1, Duration::from_secs(2));
     let answer = fleet.call_with_deadline(0, UNSAFE_PREFIX, "late", 300).expect("answer");
     assert_eq!(answer.status, 504);
-    assert!(answer.took >= Duration::from_millis(250), "given up after {:?}", answer.took);
+    assert!(answer.took >= Duration::from_millis(250), "answered after only {:?}", answer.took);
     assert_eq!(fleet.run_count("late"), 1);
 }
 
 #[test]
-fn a_path_of_no_route_is_unknown() {
+fn a_path_without_a_route_is_answered_with_404() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     let answer = fleet.call(0, "/none/", "nowhere").expect("answer");
     assert_eq!(answer.status, 404);
@@ -126,12 +127,12 @@
     }
     let answer = fleet.call(0, SAFE_PREFIX, "lost").expect("answer");
     assert_eq!(answer.status, 504);
-    let reached = fleet.run_count("lost");
-    assert!((1..=2).contains(&reached), "reached {reached} targets; the route allows 2");
+    let run_count = fleet.run_count("lost");
+    assert!((1..=2).contains(&run_count), "reached {run_count} targets; the route allows 2");
 }
 
 #[test]
-fn the_first_reads_of_a_route_do_not_wait_for_a_target_that_hangs() {
+fn the_first_reads_of_a_route_do_not_wait_for_a_hanging_target() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.targets[0].set_work(Duration::from_secs(5));
     let statuses: Vec<u16> = std::thread::scope(|scope| {
--- a/tests/hosted_life.rs
+++ b/tests/hosted_life.rs
@@ -1,5 +1,5 @@
-//! Daemons on the users' platform over their life: stops, reloads, targets
-//! that leave, configurations, a store that is away.
+//! Daemons on the users' platform: signals, targets that drain or leave, changes of the
+//! configuration, and starts while the store is down.
 
 mod common;
 
@@ -11,15 +11,15 @@
 
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// Time in which a call under way is met by a signal.
-const UNDER_WAY: Duration = Duration::from_millis(300);
+/// Time between the start of a call and a signal that must not interrupt it.
+const SIGNAL_DELAY: Duration = Duration::from_millis(300);
 
 #[test]
-fn a_hang_up_signal_cuts_no_call() {
+fn a_hang_up_signal_interrupts_no_call() {
     let fleet = HostedFleet::spawn(1, Duration::from_secs(1));
     let answer = std::thread::scope(|scope| {
         let call = scope.spawn(|| fleet.call(0, UNSAFE_PREFIX, "under-way"));
-        std::thread::sleep(UNDER_WAY);
+        std::thread::sleep(SIGNAL_DELAY);
         fleet.daemons[0].hang_up().expect("signal");
         call.join().expect("thread")
     });
@@ -28,27 +28,27 @@
 }
 
 #[test]
-fn a_stop_signal_lets_calls_end_and_serves_those_that_still_come() {
+fn a_stopping_daemon_finishes_its_calls_and_serves_those_that_still_arrive() {
     let mut fleet = HostedFleet::spawn(2, Duration::from_secs(1));
     std::thread::scope(|scope| {
         let first = scope.spawn(|| fleet.call(0, UNSAFE_PREFIX, "before"));
-        std::thread::sleep(UNDER_WAY);
+        std::thread::sleep(SIGNAL_DELAY);
         fleet.daemons[0].terminate().expect("signal");
-        eventually("not ready", || fleet.readiness_status(0) == 503);
+        eventually("the daemon is not ready", || fleet.readiness_status(0) == 503);
         let after = fleet.call(0, SAFE_PREFIX, "after").expect("answer");
         assert_eq!((after.status, after.headers["connection"].as_str()), (200, "close"));
         assert_eq!(first.join().expect("thread").expect("answer").status, 200);
     });
-    let ended = fleet.daemons[0].wait(Duration::from_secs(6)).expect("wait");
-    assert!(ended.is_some_and(|status| status.success()));
+    let exit_status = fleet.daemons[0].wait(Duration::from_secs(6)).expect("wait");
+    assert!(exit_status.is_some_and(|status| status.success()));
 }
 
 #[test]
-fn an_acknowledged_drain_is_the_last_a_target_hears_of() {
+fn a_target_gets_no_calls_after_its_drain_is_acknowledged() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     assert_eq!(fleet.targets[0].drain(fleet.control(0)).expect("drain"), 200);
     let before = fleet.targets[0].runs().len();
-    // A heartbeat from before the drain comes late.
+    // A heartbeat from before the drain arrives late.
     assert_eq!(fleet.targets[0].send_late_beat(fleet.control(0)).expect("beat"), 200);
     for number in 0..20 {
         let answer =
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_target_that_left_stays_gone() {
+fn a_late_heartbeat_does_not_bring_back_a_target_that_left() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     assert_eq!(fleet.targets[1].leave(fleet.control(1)).expect("leave"), 200);
     assert_eq!(fleet.targets[1].send_late_beat(fleet.control(1)).expect("beat"), 200);
@@ -71,31 +71,31 @@
 }
 
 #[test]
-fn a_newer_configuration_comes_in_force_and_an_older_one_never() {
+fn a_newer_configuration_comes_into_force_and_an_older_one_does_not() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.platform.write_config(&platform_config(12, "nobody"));
     let refused =
         |index| fleet.call(index, SAFE_PREFIX, "moved").is_some_and(|answer| answer.status == 503);
-    eventually("the new configuration", || refused(0) && refused(1));
+    eventually("the new configuration is in force", || refused(0) && refused(1));
     fleet.platform.write_config(&platform_config(9, common::hosted::SERVICE));
     std::thread::sleep(Duration::from_secs(1));
     assert!(refused(0) && refused(1));
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_the_present_one_in_force() {
+fn a_malformed_configuration_leaves_the_current_one_in_force() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.platform.write_config("{\"version\":\"r99\",\"virtual_hosts\":[{\"host\"");
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(fleet.call(0, SAFE_PREFIX, "still").expect("answer").status, 200);
     fleet.platform.write_config(&platform_config(100, "nobody"));
-    eventually("the next good one", || {
+    eventually("the next valid configuration is in force", || {
         fleet.call(0, SAFE_PREFIX, "next").is_some_and(|answer| answer.status == 503)
     });
 }
 
 #[test]
-fn a_daemon_started_while_the_store_is_away_is_found_and_serves() {
+fn a_daemon_that_restarts_while_the_store_is_down_serves() {
     let mut fleet = HostedFleet::spawn(3, SERVICE_TIME);
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
     let place = *fleet.daemons[2].place();
@@ -106,27 +106,28 @@
 }
 
 #[test]
-fn a_store_that_dropped_its_history_is_read_anew() {
+fn a_store_that_dropped_its_history_is_read_again_as_a_whole() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.platform.set_faults(PlatformFaults { history_gone: true, ..PlatformFaults::default() });
     fleet.platform.write_config(&platform_config(20, "nobody"));
-    eventually("the new configuration", || {
+    eventually("the new configuration is in force", || {
         fleet.call(0, SAFE_PREFIX, "gone").is_some_and(|answer| answer.status == 503)
     });
 }
 
 #[test]
-fn a_daemon_asks_who_its_target_is_instead_of_waiting_for_a_heartbeat() {
+fn a_daemon_discovers_its_target_without_a_heartbeat() {
     let mut fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.daemons[0].kill().expect("kill");
-    // Its target's heartbeats go to the old address and never arrive.
+    // The target keeps sending its heartbeats to the old address, where none arrives. The
+    // daemon asks the address in its settings which target it is.
     fleet.daemons[0] = fleet.start_daemon_with_target(0, fleet.targets[0].address());
     fleet.wait_for_targets(0, 2);
     assert_eq!(fleet.call(0, SAFE_PREFIX, "found").expect("answer").status, 200);
 }
 
 #[test]
-fn entries_hear_at_once_that_a_host_became_slow() {
+fn entries_learn_that_a_host_became_slow() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     for number in 0..20 {
         assert_eq!(
@@ -135,38 +136,40 @@
         );
     }
     fleet.targets[1].tell_slowness(400);
-    eventually("the entry hears of it", || {
-        // Only what is in use is watched.
+    eventually("the entry knows the slowness", || {
+        // Guards check and report only targets in use.
         drop(fleet.call(1, SAFE_PREFIX, "use"));
         fleet.reported_slowness(0, "i-1") == Some(400)
     });
 }
 
 #[test]
-fn a_target_that_left_before_it_was_known_stays_gone() {
+fn a_late_heartbeat_does_not_add_a_target_that_left_before_it_was_known() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    let stranger = HostedTarget::spawn("grillas", "i-stranger", SERVICE_TIME).expect("target");
-    assert_eq!(stranger.leave(fleet.control(0)).expect("leave"), 200);
-    assert_eq!(stranger.send_late_beat(fleet.control(0)).expect("beat"), 200);
+    let unknown_target =
+        HostedTarget::spawn("grillas", "i-stranger", SERVICE_TIME).expect("target");
+    assert_eq!(unknown_target.leave(fleet.control(0)).expect("leave"), 200);
+    assert_eq!(unknown_target.send_late_beat(fleet.control(0)).expect("beat"), 200);
     let state = fleet.state(0);
     let known = state["guard"]["targets"].as_array().expect("targets");
-    assert_eq!(known.len(), 1, "the late heartbeat brought it back: {known:?}");
+    assert_eq!(known.len(), 1, "the late heartbeat added a target: {known:?}");
 }
 
 #[test]
-fn a_target_whose_address_is_anothers_is_given_up() {
+fn a_target_whose_address_now_belongs_to_another_is_removed() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     fleet.targets[0].set_mood(HostedMood::OtherTarget);
     assert_eq!(fleet.call(0, SAFE_PREFIX, "moved").expect("answer").status, 503);
-    eventually("no target is left", || {
+    eventually("the entry knows no target", || {
         fleet.state(0)["entry"]["services"][common::hosted::SERVICE].is_null()
     });
 }
 
-/// Whoever knows where a daemon listens may tell it to stop, or that its settings
-/// changed: it must handle signals by then. By the signal's default it would be gone.
+/// A supervisor may send a stop or hang-up signal as soon as the daemon has printed its
+/// addresses. If the daemon handled signals only later, the default action of the signal
+/// would kill it.
 #[test]
-fn a_daemon_handles_signals_as_soon_as_it_says_where_it_listens() {
+fn a_daemon_handles_signals_as_soon_as_it_prints_its_addresses() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
     let mut daemons: Vec<_> = (1..=12)
         .map(|index| {
@@ -177,7 +180,7 @@
         })
         .collect();
     for daemon in &mut daemons {
-        let ended = daemon.wait(Duration::from_secs(20)).expect("wait");
-        assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
+        let exit_status = daemon.wait(Duration::from_secs(20)).expect("wait");
+        assert!(exit_status.is_some_and(|status| status.success()), "{exit_status:?}");
     }
 }
--- a/tests/late_copies.rs
+++ b/tests/late_copies.rs
@@ -1,4 +1,6 @@
-//! Promise: a late copy of a call never runs, whatever it meets.
+//! A late copy of a call must not run: a guard refuses calls for an earlier incarnation of
+//! itself and calls that were revoked before they arrived, and can't tell the outcome of a
+//! call that another incarnation got.
 
 mod common;
 
@@ -13,8 +15,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Sends a head to a guard as an entry would, and reads the head of its answer.
-async fn ask<Q: Serialize, A: DeserializeOwned>(guard: SocketAddr, path: &str, head: &Q) -> A {
+/// Sends a message head to a guard as an entry does, and returns the head of its answer.
+async fn exchange_heads<Q: Serialize, A: DeserializeOwned>(
+    guard: SocketAddr,
+    path: &str,
+    head: &Q,
+) -> A {
     let socket = tokio::net::TcpStream::connect(guard).await.expect("connect");
     let (mut sender, connection) = h2::client::handshake(socket).await.expect("handshake");
     tokio::spawn(async move { drop(connection.await) });
@@ -33,12 +39,14 @@
     decode(&bytes[..length]).expect("decode")
 }
 
-fn incarnation(fleet: &TestFleet) -> DaemonIncarnation {
+/// Returns the incarnation of the first daemon.
+fn current_incarnation(fleet: &TestFleet) -> DaemonIncarnation {
     let state = fleet.state(fleet.addresses(0).admin);
     DaemonIncarnation(state["peers"]["members"][0]["incarnation"].as_u64().expect("incarnation"))
 }
 
-fn head(fleet: &TestFleet, call: u128, incarnation: DaemonIncarnation) -> CallHead {
+/// Makes the head of a call to the first target, for an incarnation of its daemon.
+fn call_head(fleet: &TestFleet, call: u128, incarnation: DaemonIncarnation) -> CallHead {
     CallHead {
         sent: None,
         call: CallId(call),
@@ -63,49 +71,50 @@
     }
 }
 
-fn send(fleet: &TestFleet, head: &CallHead) -> AnswerHead {
-    fleet.runtime.block_on(ask(fleet.addresses(0).guard, "/call", head))
+fn send_call(fleet: &TestFleet, head: &CallHead) -> AnswerHead {
+    fleet.runtime.block_on(exchange_heads(fleet.addresses(0).guard, "/call", head))
 }
 
-fn runs(fleet: &TestFleet, call: u128) -> usize {
+/// Returns how often a call ran at the first target.
+fn run_count(fleet: &TestFleet, call: u128) -> usize {
     let path = format!("/late/{call}?size=10");
     fleet.targets[0].runs().iter().filter(|run| run.path == path).count()
 }
 
 #[test]
-fn a_copy_for_another_life_of_the_guard_does_not_run() {
+fn a_call_for_another_incarnation_of_the_guard_does_not_run() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let life = incarnation(&fleet);
-    let answer = send(&fleet, &head(&fleet, 1, DaemonIncarnation(life.0 ^ 1)));
+    let incarnation = current_incarnation(&fleet);
+    let answer = send_call(&fleet, &call_head(&fleet, 1, DaemonIncarnation(incarnation.0 ^ 1)));
     let refused = matches!(answer, AnswerHead::Refused { reason: RefusalReason::Absent, .. });
     assert!(refused, "{answer:?}");
-    assert_eq!(runs(&fleet, 1), 0);
-    // The same call for this life runs, so it was the life that mattered.
-    let answer = send(&fleet, &head(&fleet, 1, life));
+    assert_eq!(run_count(&fleet, 1), 0);
+    // The same call for the current incarnation runs, so the incarnation was the cause.
+    let answer = send_call(&fleet, &call_head(&fleet, 1, incarnation));
     assert!(matches!(answer, AnswerHead::Answered { status: 200, .. }), "{answer:?}");
-    assert_eq!(runs(&fleet, 1), 1);
+    assert_eq!(run_count(&fleet, 1), 1);
 }
 
 #[test]
-fn a_copy_that_comes_after_its_revocation_does_not_run() {
+fn a_call_that_arrives_after_its_revocation_does_not_run() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let life = incarnation(&fleet);
-    let revoke = RevokeHead { call: CallId(2), incarnation: life };
+    let incarnation = current_incarnation(&fleet);
+    let revoke = RevokeHead { call: CallId(2), incarnation };
     let guard = fleet.addresses(0).guard;
-    let reply: RevokeReply = fleet.runtime.block_on(ask(guard, "/revoke", &revoke));
+    let reply: RevokeReply = fleet.runtime.block_on(exchange_heads(guard, "/revoke", &revoke));
     assert_eq!(reply.status, CallStatus::NotRun);
-    let answer = send(&fleet, &head(&fleet, 2, life));
+    let answer = send_call(&fleet, &call_head(&fleet, 2, incarnation));
     let refused = matches!(answer, AnswerHead::Refused { reason: RefusalReason::Revoked, .. });
     assert!(refused, "{answer:?}");
-    assert_eq!(runs(&fleet, 2), 0);
+    assert_eq!(run_count(&fleet, 2), 0);
 }
 
 #[test]
-fn another_life_can_not_say_what_became_of_a_call() {
+fn another_incarnation_cannot_tell_the_outcome_of_a_call() {
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
-    let former = DaemonIncarnation(incarnation(&fleet).0 ^ 1);
-    let revoke = RevokeHead { call: CallId(3), incarnation: former };
+    let other_incarnation = DaemonIncarnation(current_incarnation(&fleet).0 ^ 1);
+    let revoke = RevokeHead { call: CallId(3), incarnation: other_incarnation };
     let guard = fleet.addresses(0).guard;
-    let reply: RevokeReply = fleet.runtime.block_on(ask(guard, "/revoke", &revoke));
+    let reply: RevokeReply = fleet.runtime.block_on(exchange_heads(guard, "/revoke", &revoke));
     assert_eq!(reply.status, CallStatus::Unknown);
 }
