--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Promises: a leaving target gets no new work; a planned stop cuts nothing off.
+//! A target that drains, lapses or isn't ready gets no new calls, and the planned stop of a
+//! daemon interrupts no call within its bound.
 
 mod common;
 
@@ -7,12 +8,12 @@
 use common::{FleetPlan, TestFleet, WAIT_TIMEOUT, eventually};
 use railspan_standins::{Verdict, fetch};
 
-/// Bound on new work after a target began to leave: its lease of 3 s, the
-/// guard's tick, and the heartbeat interval of the stand-in.
-const BOUND: Duration = Duration::from_secs(4);
+/// Longest time for which a target may get new calls after it stopped being ready: the sum
+/// of its lease of 3 s, the guard's tick, and the heartbeat interval of the stand-in.
+const REMOVAL_BOUND: Duration = Duration::from_secs(4);
 
-/// Makes calls through all entries and tells whether a target got any.
-fn gets_work(fleet: &TestFleet, target: usize) -> bool {
+/// Makes 60 calls through all entries and returns whether a target ran any of them.
+fn gets_calls(fleet: &TestFleet, target: usize) -> bool {
     let before = fleet.targets[target].runs().len();
     let calls: Vec<_> = (0..60)
         .map(|number| {
@@ -26,63 +27,63 @@
 }
 
 #[test]
-fn a_target_drained_by_an_operator_gets_no_new_work() {
+fn a_target_drained_by_an_operator_gets_no_new_calls() {
     let fleet = TestFleet::spawn(FleetPlan::default());
-    assert!(gets_work(&fleet, 1));
+    assert!(gets_calls(&fleet, 1));
     let running = fleet.start_call(0, fleet.get_request("/long?size=1000&us=800000"));
     let admin = fleet.addresses(1).admin;
     let drain = |on| {
         fleet.runtime.block_on(fetch("POST", admin, &format!("/drain?target=target-1&on={on}")))
     };
     assert_eq!(drain(true).expect("drain").0, 200);
-    // The guard refuses from that moment, whatever the entries have heard.
-    assert!(!gets_work(&fleet, 1));
+    // The guard refuses calls from this moment on, whether or not the entries know of the drain.
+    assert!(!gets_calls(&fleet, 1));
     assert_eq!(fleet.join_call(running).verdict, Verdict::Complete);
     assert_eq!(drain(false).expect("undo").0, 200);
-    eventually("the target gets work again", || gets_work(&fleet, 1));
+    eventually("the target gets calls again", || gets_calls(&fleet, 1));
 }
 
 #[test]
-fn a_target_that_says_it_drains_gets_no_new_work() {
+fn a_target_that_reports_that_it_drains_gets_no_new_calls() {
     let fleet = TestFleet::spawn(FleetPlan::default());
-    let long: Vec<_> = (0..3)
+    let running: Vec<_> = (0..3)
         .map(|_| fleet.start_call(0, fleet.get_request("/long?size=1000&us=3000000")))
         .collect();
     std::thread::sleep(Duration::from_millis(100));
     fleet.targets[2].behave(|behaviour| "draining".clone_into(&mut behaviour.condition));
-    std::thread::sleep(BOUND);
-    assert!(!gets_work(&fleet, 2));
-    for call in long {
+    std::thread::sleep(REMOVAL_BOUND);
+    assert!(!gets_calls(&fleet, 2));
+    for call in running {
         assert_eq!(fleet.join_call(call).verdict, Verdict::Complete);
     }
 }
 
 #[test]
-fn a_target_out_of_contact_gets_no_new_work() {
+fn a_target_without_heartbeats_gets_no_new_calls() {
     let fleet = TestFleet::spawn(FleetPlan::default());
     fleet.targets[0].behave(|behaviour| behaviour.heartbeat = false);
-    std::thread::sleep(BOUND);
-    assert!(!gets_work(&fleet, 0));
+    std::thread::sleep(REMOVAL_BOUND);
+    assert!(!gets_calls(&fleet, 0));
     fleet.targets[0].behave(|behaviour| behaviour.heartbeat = true);
-    eventually("the target gets work again", || gets_work(&fleet, 0));
+    eventually("the target gets calls again", || gets_calls(&fleet, 0));
 }
 
 #[test]
-fn a_warming_target_gets_no_work_before_it_is_ready() {
+fn a_warming_target_gets_no_calls_before_it_is_ready() {
     let mut fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.add_host(2);
     fleet.targets[2].behave(|behaviour| "warming".clone_into(&mut behaviour.condition));
-    std::thread::sleep(BOUND);
-    assert!(!gets_work(&fleet, 2));
+    std::thread::sleep(REMOVAL_BOUND);
+    assert!(!gets_calls(&fleet, 2));
     fleet.targets[2].behave(|behaviour| "ready".clone_into(&mut behaviour.condition));
     fleet.wait_ready();
 }
 
 #[test]
-fn planned_stops_one_after_another_cut_nothing_off() {
+fn consecutive_planned_stops_interrupt_no_call() {
     let mut fleet = TestFleet::spawn(FleetPlan { slots: 8, ..FleetPlan::default() });
     for stopped in 0..2 {
-        // Calls under way through the daemon that stops, and to its target.
+        // These calls are running when the daemon stops, some through it, some at its target.
         let calls: Vec<_> = (0..24)
             .map(|number| {
                 let path = format!("/stop/{stopped}/{number}?size=300000&us=300000");
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_stopped_guard_finishes_and_records_what_must_not_repeat() {
+fn a_stopping_guard_finishes_and_records_a_call_with_an_idempotency_key() {
     let mut fleet = TestFleet::spawn(FleetPlan::default());
     let call = fleet.post_request("k", "/bulletin?size=100&us=500000");
     let first = fleet.start_call(0, call.clone());
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_stop_has_the_bound_that_the_operator_set() {
+fn a_planned_stop_ends_within_the_operators_bound() {
     let mut fleet =
         TestFleet::spawn(FleetPlan { hosts: 1, stop_bound_ms: 300, ..FleetPlan::default() });
     let call = fleet.start_call(0, fleet.get_request("/endless?size=10&us=30000000"));
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -1,5 +1,5 @@
-//! Heartbeats and configurations of other writers: whatever their bytes, nothing but a
-//! whole and proper one names a target or comes in force.
+//! Messages that other programs write: only a complete and valid heartbeat adds a target,
+//! and arbitrary bytes are decoded or refused without a panic.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -10,13 +10,13 @@
 use seeded::seeded;
 use serde_json::{Value, json};
 
-fn read(body: &[u8]) -> Option<TargetReport> {
+fn parse_heartbeat(body: &[u8]) -> Option<TargetReport> {
     let path = "/instances/i-1/heartbeat";
     let request = ControlRequest { method: &Method::POST, path, body };
     (adapter().parse_report)(&request).ok()
 }
 
-fn heartbeat() -> Value {
+fn valid_heartbeat() -> Value {
     json!({
         "address": "10.1.0.8:8301", "born": 1_768_651_867_000_u64,
         "info": {"service": "grillas", "version": "v1", "zone": "z", "slots": 11},
@@ -24,7 +24,7 @@
     })
 }
 
-/// Values of every type that JSON has.
+/// Returns a strategy for values of every JSON type.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -37,8 +37,8 @@
     ]
 }
 
-/// The fields that a heartbeat must have, as pointers into it.
-const FIELDS: [&str; 8] = [
+/// JSON pointers to the fields that a heartbeat must have.
+const REQUIRED_FIELDS: [&str; 8] = [
     "/address",
     "/info",
     "/status",
@@ -53,56 +53,56 @@
     #![proptest_config(seeded(500))]
 
     #[test]
-    fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        prop_assert!(read(&bytes).is_none());
-        // A datagram or a report that can't be read is nothing; no more is asked.
+    fn arbitrary_bytes_are_refused_as_heartbeats_and_never_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        prop_assert!(parse_heartbeat(&bytes).is_none());
+        // Gossip messages and load reports may be decoded or refused, but must not panic.
         drop(decode::<GossipMessage>(&bytes));
         drop(decode::<LoadReport>(&bytes));
     }
 
     #[test]
-    fn a_field_of_another_type_names_no_target(field in 0_usize..FIELDS.len(), value in any_value()) {
-        let mut body = heartbeat();
-        let place = body.pointer_mut(FIELDS[field]).expect("field");
-        let same_type = std::mem::discriminant(&*place) == std::mem::discriminant(&value);
-        *place = value;
+    fn a_heartbeat_with_a_field_of_another_type_is_refused(field in 0_usize..REQUIRED_FIELDS.len(), value in any_value()) {
+        let mut body = valid_heartbeat();
+        let original = body.pointer_mut(REQUIRED_FIELDS[field]).expect("field");
+        let same_type = std::mem::discriminant(&*original) == std::mem::discriminant(&value);
+        *original = value;
         if !same_type {
-            prop_assert!(read(body.to_string().as_bytes()).is_none(), "{body}");
+            prop_assert!(parse_heartbeat(body.to_string().as_bytes()).is_none(), "{body}");
         }
     }
 
     #[test]
-    fn a_heartbeat_that_is_cut_off_names_no_target(length in 0_usize..200) {
-        let whole = heartbeat().to_string();
-        prop_assert!(read(&whole.as_bytes()[..length.min(whole.len() - 1)]).is_none());
+    fn a_truncated_heartbeat_is_refused(length in 0_usize..200) {
+        let text = valid_heartbeat().to_string();
+        prop_assert!(parse_heartbeat(&text.as_bytes()[..length.min(text.len() - 1)]).is_none());
     }
 }
 
 #[test]
-fn a_whole_heartbeat_is_read() {
+fn a_valid_heartbeat_is_parsed_with_and_without_a_start_time() {
     let Some(TargetReport::Alive { started_at_ms, sequence, .. }) =
-        read(heartbeat().to_string().as_bytes())
+        parse_heartbeat(valid_heartbeat().to_string().as_bytes())
     else {
-        panic!("a heartbeat")
+        panic!("a valid heartbeat was refused")
     };
     assert_eq!((started_at_ms, sequence), (Some(1_768_651_867_000), 4));
-    let mut without_birth = heartbeat();
-    without_birth.as_object_mut().expect("object").remove("born");
-    assert!(read(without_birth.to_string().as_bytes()).is_some());
+    let mut without_start_time = valid_heartbeat();
+    without_start_time.as_object_mut().expect("object").remove("born");
+    assert!(parse_heartbeat(without_start_time.to_string().as_bytes()).is_some());
 }
 
 #[test]
-fn an_end_with_a_body_that_cannot_be_read_ends_nothing() {
+fn a_leave_message_with_a_malformed_body_is_refused() {
     let path = "/instances/i-1/leave";
-    let read = |body: &[u8]| {
+    let parse_leave = |body: &[u8]| {
         let request = ControlRequest { method: &Method::POST, path, body };
         (adapter().parse_report)(&request)
     };
-    let refused = read(b"{\"born\":\"now\"}").expect_err("no end");
-    assert_eq!(refused.status.as_u16(), 400);
-    assert!(matches!(read(b""), Ok(TargetReport::Leaving { started_at_ms: None, .. })));
+    let refusal = parse_leave(b"{\"born\":\"now\"}").expect_err("refused");
+    assert_eq!(refusal.status.as_u16(), 400);
+    assert!(matches!(parse_leave(b""), Ok(TargetReport::Leaving { started_at_ms: None, .. })));
     assert!(matches!(
-        read(b"{\"born\":9}"),
+        parse_leave(b"{\"born\":9}"),
         Ok(TargetReport::Leaving { started_at_ms: Some(9), .. })
     ));
 }
--- a/tests/suspended_host.rs
+++ b/tests/suspended_host.rs
@@ -1,5 +1,6 @@
-//! Promise: a host that is suspended wakes into the present. Its clock counted the time
-//! that its timers did not, so they fire late and each kernel sees one great step.
+//! A daemon on a suspended host must treat leases, waiting calls and clock offsets as of the
+//! time at which it resumes. The clock includes the suspension, but timers don't run during
+//! it: they fire late, and each state machine sees one large step of time.
 
 use std::time::Duration;
 
@@ -9,12 +10,14 @@
 };
 use test_case::test_case;
 
-const BEFORE: MicroTime = MicroTime::from_millis(1_000);
+/// Time at which the host is suspended.
+const SUSPENDED_AT: MicroTime = MicroTime::from_millis(1_000);
 
-/// The clock on waking, and by the timers: a second after they were set.
-const AWAKE: MicroTime = MicroTime::from_millis(8_000);
+/// Time at which the host is resumed: seven seconds later by the clock, of which the timers
+/// counted one.
+const RESUMED_AT: MicroTime = MicroTime::from_millis(8_000);
 
-fn call(id: u128, deadline: MicroTime) -> WaitingCall {
+fn waiting_call(id: u128, deadline: MicroTime) -> WaitingCall {
     WaitingCall {
         call: CallId(id),
         account: "".into(),
@@ -28,27 +31,31 @@
 }
 
 #[test]
-fn a_heartbeat_from_before_is_none_afterwards() {
-    let mut lease = TargetLease::open(BEFORE, TargetCondition::Ready, Duration::from_secs(3));
-    assert!(lease.is_ready(BEFORE));
-    assert!(!lease.is_ready(AWAKE));
-    lease.renew(AWAKE, TargetCondition::Ready);
-    assert!(lease.is_ready(AWAKE));
+fn a_lease_from_before_the_suspension_has_lapsed_after_it() {
+    let mut lease = TargetLease::open(SUSPENDED_AT, TargetCondition::Ready, Duration::from_secs(3));
+    assert!(lease.is_ready(SUSPENDED_AT));
+    assert!(!lease.is_ready(RESUMED_AT));
+    lease.renew(RESUMED_AT, TargetCondition::Ready);
+    assert!(lease.is_ready(RESUMED_AT));
 }
 
-/// What wakes the guard first may be an end, a new call or its timer.
+/// The first event after the suspension may be a timer, the end of a call or a new call.
 #[test_case(AdmissionEvent::Tick; "a timer")]
-#[test_case(AdmissionEvent::Finish { call: CallId(1), took: None, failed: false }; "an end")]
-#[test_case(AdmissionEvent::Arrive(call(9, AWAKE + BEFORE)); "another call")]
-fn a_call_that_waited_through_it_is_refused_and_never_starts(first: AdmissionEvent) {
+#[test_case(AdmissionEvent::Finish { call: CallId(1), took: None, failed: false }; "the end of a call")]
+#[test_case(AdmissionEvent::Arrive(waiting_call(9, RESUMED_AT + SUSPENDED_AT)); "a new call")]
+fn a_waiting_call_whose_deadline_passed_is_refused_and_never_starts(first: AdmissionEvent) {
     let mut queue = AdmissionQueue::open(1);
     let mut actions = Vec::new();
-    let late = BEFORE + MicroTime::from_millis(500);
-    queue.step(BEFORE, AdmissionEvent::Arrive(call(1, AWAKE + AWAKE)), &mut actions);
-    queue.step(BEFORE, AdmissionEvent::Arrive(call(2, late)), &mut actions);
+    let deadline = SUSPENDED_AT + MicroTime::from_millis(500);
+    queue.step(
+        SUSPENDED_AT,
+        AdmissionEvent::Arrive(waiting_call(1, RESUMED_AT + RESUMED_AT)),
+        &mut actions,
+    );
+    queue.step(SUSPENDED_AT, AdmissionEvent::Arrive(waiting_call(2, deadline)), &mut actions);
     actions.clear();
-    queue.step(AWAKE, first, &mut actions);
-    queue.step(AWAKE, AdmissionEvent::Tick, &mut actions);
+    queue.step(RESUMED_AT, first, &mut actions);
+    queue.step(RESUMED_AT, AdmissionEvent::Tick, &mut actions);
     let refused = |action: &AdmissionAction| {
         matches!(action, AdmissionAction::Refuse { call: CallId(2), reason, .. }
             if *reason == RefusalReason::TooLate)
@@ -57,22 +64,23 @@
     assert!(!actions.contains(&AdmissionAction::Start(CallId(2))), "{actions:?}");
 }
 
-/// The memory of fates outlives each deadline that was told before, however long it was.
+/// The ledger keeps the outcome of a call for longer than any deadline that was given
+/// before the suspension.
 #[test]
-fn a_call_revoked_before_does_not_run_afterwards() {
+fn a_call_revoked_before_the_suspension_does_not_run_after_it() {
     let mut ledger = CallLedger::default();
-    assert_eq!(ledger.revoke(BEFORE, CallId(1)), CallStatus::NotRun);
-    assert!(!ledger.register(AWAKE, CallId(1)));
+    assert_eq!(ledger.revoke(SUSPENDED_AT, CallId(1)), CallStatus::NotRun);
+    assert!(!ledger.register(RESUMED_AT, CallId(1)));
     assert!(!ledger.try_dispatch(CallId(1)));
 }
 
-/// An entry tells a guard when it sent a call by the guard's clock; were the time of a
-/// suspension not counted, all calls sent before it would seem to be fresh.
+/// An entry tells a guard the time at which it sent a call, by the guard's clock. If that
+/// clock left out the suspension, all calls sent before it would seem to be recent.
 #[test]
-fn what_was_sent_before_is_known_to_be_old() {
-    let mut offset = ClockOffset::open(BEFORE, BEFORE);
-    let sent = offset.remote_time(BEFORE);
-    assert_eq!(AWAKE.since(sent), AWAKE.since(BEFORE));
-    offset.update(AWAKE, AWAKE);
-    assert_eq!(offset.remote_time(AWAKE), AWAKE);
+fn the_age_of_a_call_includes_the_suspension() {
+    let mut offset = ClockOffset::open(SUSPENDED_AT, SUSPENDED_AT);
+    let sent_at = offset.remote_time(SUSPENDED_AT);
+    assert_eq!(RESUMED_AT.since(sent_at), RESUMED_AT.since(SUSPENDED_AT));
+    offset.update(RESUMED_AT, RESUMED_AT);
+    assert_eq!(offset.remote_time(RESUMED_AT), RESUMED_AT);
 }
