--- a/tests/hosted_life.rs
+++ b/tests/hosted_life.rs
@@ -137,7 +137,7 @@
     }
     fleet.targets[1].tell_slowness(400);
     eventually("the entry knows the slowness", || {
-        // Guards check and report only targets in use.
+        // A guard sends health checks, which return the slowness, only to targets in use.
         drop(fleet.call(1, SAFE_PREFIX, "use"));
         fleet.reported_slowness(0, "i-1") == Some(400)
     });
