--- a/tests/common/hosted.rs
+++ b/tests/common/hosted.rs
@@ -14,7 +14,9 @@
 
 use super::{ephemeral_address, eventually};
 
+/// Service that all targets offer.
 pub const SERVICE: &str = "grillas";
+
 /// The `Host` header that the routes are for.
 pub const VIRTUAL_HOST: &str = "grillas.example";
 
@@ -301,7 +303,7 @@
     })
 }
 
-/// Makes a configuration in the form in which the platform's operators write it: one
+/// Builds a configuration in the form in which the platform's operators write it: one
 /// service with a route for reads and one for writes.
 pub fn platform_config(version: u64, service: &str) -> String {
     let route = |name: &str, prefix: &str, kind: &str| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,14 +18,18 @@
 /// Longest wait for an expected event; far longer than any of them takes.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Configuration template that every [`TestFleet`] starts with.
 pub const TEMPLATE: &str = include_str!("../../examples/fundacion.jsonc");
+
 /// Bearer token of the account `cooperativas` in [`TEMPLATE`].
 pub const TOKEN: &str = "cooperativas-token";
+
 /// Bearer token of another account in [`TEMPLATE`].
 pub const OTHER_TOKEN: &str = "emergencia-token";
 
 /// Parameters of a [`TestFleet`].
 pub struct FleetPlan {
+    /// Service that all targets offer and all calls are for.
     pub service: &'static str,
     /// Number of hosts; each has one daemon and one target.
     pub hosts: usize,
@@ -115,6 +119,7 @@
         self.runtime.block_on(railspan::publish(&client, &config, "test", None))
     }
 
+    /// Returns the addresses at which a daemon listens.
     pub fn addresses(&self, index: usize) -> DaemonPlace {
         *self.daemons[index].place()
     }
@@ -145,7 +150,7 @@
         state["entry"]["revision"].as_u64()
     }
 
-    /// Makes a `GET` call for the fleet's service, with a deadline of 10 s.
+    /// Builds a `GET` call for the fleet's service, with a deadline of 10 s.
     pub fn get_request(&self, path: &str) -> CallRequest {
         CallRequest {
             service: self.plan.service.to_owned(),
@@ -158,7 +163,7 @@
         }
     }
 
-    /// Makes a `POST` call with an idempotency key, whose bytes are also its body.
+    /// Builds a `POST` call with an idempotency key, which is also its body.
     pub fn post_request(&self, key: &str, path: &str) -> CallRequest {
         let mut call = self.get_request(path);
         call.method = "POST";
@@ -169,8 +174,8 @@
 
     /// Makes a call through a daemon and waits for its end.
     pub fn call(&self, index: usize, call: &CallRequest) -> CallReport {
-        let place = self.addresses(index);
-        self.runtime.block_on(self.client.call(place.caller, call))
+        let addresses = self.addresses(index);
+        self.runtime.block_on(self.client.call(addresses.caller, call))
     }
 
     /// Starts a call through a daemon without waiting for its end.
@@ -179,8 +184,8 @@
         index: usize,
         call: CallRequest,
     ) -> tokio::task::JoinHandle<CallReport> {
-        let (client, place) = (self.client.clone(), self.addresses(index));
-        self.runtime.spawn(async move { client.call(place.caller, &call).await })
+        let (client, addresses) = (self.client.clone(), self.addresses(index));
+        self.runtime.spawn(async move { client.call(addresses.caller, &call).await })
     }
 
     /// Waits for the end of a call that [`Self::start_call`] made.
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -49,7 +49,7 @@
                 let answer = fleet.send_crashing_request(host, &format!("copy-{host}"));
                 assert!(
                     answer.is_none_or(|answer| answer.status != 200),
-                    "a crashing request got an answer"
+                    "a crashing request succeeded"
                 );
                 std::thread::sleep(Duration::from_millis(60));
             }
@@ -66,7 +66,7 @@
         stop.store(true, Ordering::Relaxed);
     });
     let runs = fleet.crashing_run_times();
-    assert!(runs.len() >= CRASHES_UNTIL_BLAMED, "only {} runs crashed a target", runs.len());
+    assert!(runs.len() >= CRASHES_UNTIL_BLAMED, "only {} copies reached targets", runs.len());
     let third_crash = runs[CRASHES_UNTIL_BLAMED - 1] + SERVICE_TIME;
     let late = runs.iter().filter(|at| **at > third_crash + SETTLING_TIME).count();
     assert!(late <= MAX_LATE_COPIES, "{late} of {} copies reached targets too late", runs.len());
--- a/tests/evacuated.rs
+++ b/tests/evacuated.rs
@@ -172,7 +172,7 @@
     let path = format!("/instances/{name}/leave");
     let leave = railspan_standins::hosted_call(control, "POST", &path, &[], b"{\"born\":1000}");
     assert_eq!(leave.expect("leave").status, 200);
-    let answer = fleet.call(0, SAFE_PREFIX, "restarted").expect("answer");
+    let answer = fleet.call(0, SAFE_PREFIX, "reborn").expect("answer");
     assert_eq!(answer.status, 200);
     assert_eq!(first_target_state(&fleet, 0)["ready"], true);
 }
--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -18,7 +18,7 @@
 const TERMS: &str =
     "heartbeat=500ms,retry_budget_ratio=0.2,budget_slack=58,grace=6s,quota_window=5s";
 
-/// Makes a configuration with client accounts, and with a public route besides the others.
+/// Builds a configuration with client accounts, and with a public route besides the others.
 fn config_with_accounts(version: u64, keys: &[&str], per_s: u64, burst: u64) -> String {
     let mut config: Value = serde_json::from_str(&platform_config(version, SERVICE)).expect("json");
     config["tenants"] = json!([
--- a/tests/late_copies.rs
+++ b/tests/late_copies.rs
@@ -45,7 +45,7 @@
     DaemonIncarnation(state["peers"]["members"][0]["incarnation"].as_u64().expect("incarnation"))
 }
 
-/// Makes the head of a call to the first target, for an incarnation of its daemon.
+/// Builds the head of a call to the first target, for an incarnation of its daemon.
 fn call_head(fleet: &TestFleet, call: u128, incarnation: DaemonIncarnation) -> CallHead {
     CallHead {
         sent: None,
