--- a/src/base/consts.rs
+++ b/src/base/consts.rs
@@ -10,7 +10,8 @@
 /// Maximum size of the encoded head of a message between two daemons, in bytes.
 pub const MAX_HEAD: usize = 64 << 10;
 
-/// Maximum size of the part of an answer that a guard buffers before it forwards any of it, in bytes.
+/// Maximum size of the part of an answer that a guard buffers before it forwards any of it, in
+/// bytes.
 ///
 /// An answer that breaks off within this part can still be replaced by another.
 pub const MAX_BUFFERED_ANSWER: usize = 128 << 10;
--- a/src/base/lingering_socket.rs
+++ b/src/base/lingering_socket.rs
@@ -15,11 +15,11 @@
 use tokio::time::{Sleep, sleep};
 
 /// Maximum time for which the socket reads from its peer after the last answer.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Maximum number of bytes read in that time: those that a link of 100 Mbit/s carries in one
 /// second.
-const LINGER_BYTES: usize = 12 << 20;
+const MAX_LINGER_BYTES: usize = 12 << 20;
 
 /// Socket that reads and discards what its peer still sends when it is shut down.
 pub(crate) struct LingeringSocket {
@@ -42,7 +42,7 @@
 
 impl ClosingState {
     fn open() -> Self {
-        Self { until: Box::pin(sleep(LINGER)), bytes_left: LINGER_BYTES }
+        Self { until: Box::pin(sleep(LINGER_TIMEOUT)), bytes_left: MAX_LINGER_BYTES }
     }
 
     /// Reads and discards bytes until the peer closes or a limit is reached.
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -9,7 +9,7 @@
 use crate::base::suspect::SuspectUpdate;
 
 /// Number of buckets by which full exchanges compare member records.
-pub const SYNC_BUCKETS: usize = 64;
+pub const EXCHANGE_BUCKETS: usize = 64;
 
 /// Membership state of a daemon. At the same record version, a later state in this order
 /// replaces an earlier one.
@@ -97,7 +97,7 @@
     /// Returns the record's bucket in full exchanges.
     pub(crate) fn bucket(&self) -> usize {
         let hash = blake3::hash(self.host.as_str().as_bytes());
-        usize::from(hash.as_bytes()[0]) % SYNC_BUCKETS
+        usize::from(hash.as_bytes()[0]) % EXCHANGE_BUCKETS
     }
 
     /// Returns a hash of the fields by which full exchanges detect differing records.
--- a/src/call/entry/load_watch.rs
+++ b/src/call/entry/load_watch.rs
@@ -19,20 +19,20 @@
 /// Maximum number of targets that one entry watches.
 ///
 /// In large fleets, the load of the other targets is known only from answers and probes.
-const MAX_WATCHED: usize = 48;
+const MAX_WATCHED_TARGETS: usize = 48;
 
 /// Maximum wait for the first report of a target; a guard sends it at once, so a longer
 /// wait means that its host or the network path is stalled.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Starts to watch a target, unless it is watched already or [`MAX_WATCHED`] targets are.
+/// Starts to watch a target, unless it is watched already or [`MAX_WATCHED_TARGETS`] targets are.
 pub(crate) fn watch_target(
     duty: &Rc<EntryDuty>,
     service: &ServiceName,
     target: &TargetName,
     location: &TargetLocation,
 ) {
-    if duty.watch_count.get() >= MAX_WATCHED || !duty.mark_watched(service, target, true) {
+    if duty.watch_count.get() >= MAX_WATCHED_TARGETS || !duty.mark_watched(service, target, true) {
         return;
     }
     duty.watch_count.set(duty.watch_count.get() + 1);
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -24,7 +24,7 @@
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Time for which a holder that did not reply is asked after all others.
-const UNRESPONSIVE_PERIOD: MicroTime = MicroTime::from_millis(1_000);
+const UNRESPONSIVE_DURATION: MicroTime = MicroTime::from_millis(1_000);
 
 /// Retry delay if no holder can be reached, in milliseconds.
 const UNREACHABLE_RETRY_MS: u32 = 300;
@@ -175,7 +175,7 @@
         let now = self.clock.now();
         let unresponsive = self.quotas.unresponsive.borrow();
         holders.sort_by_key(|(host, _)| {
-            unresponsive.get(host).is_some_and(|since| now.since(*since) < UNRESPONSIVE_PERIOD)
+            unresponsive.get(host).is_some_and(|since| now.since(*since) < UNRESPONSIVE_DURATION)
         });
         holders
     }
--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -34,7 +34,7 @@
 
 /// Maximum number of liveness checks; together they take longer than a target is likely
 /// to stall.
-const MAX_CHECKS: u32 = 30;
+const MAX_LIVENESS_CHECKS: u32 = 30;
 
 /// Maximum number of digests in one log line.
 const MAX_LOGGED_DIGESTS: usize = 8;
@@ -140,7 +140,7 @@
         target.crash_check = Some(crash_check.clone());
         let (duty, key) = (Rc::clone(self), key.clone());
         spawn_local(async move {
-            for _ in 0..MAX_CHECKS {
+            for _ in 0..MAX_LIVENESS_CHECKS {
                 match health::check_liveness(&duty, &key).await {
                     TargetLiveness::Running => break,
                     TargetLiveness::Ended => {
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -9,10 +9,10 @@
 use crate::base::wire::{self, GuardDatagram, GuardReply, ProbeReply, ProbeRequest};
 
 impl GuardDuty {
-    /// Answers the entries' datagrams.
+    /// Replies to the entries' datagrams.
     ///
     /// Replies may be lost: an entry repeats its request, or does without the reply.
-    pub(super) async fn answer_datagrams(self: Rc<Self>, socket: UdpSocket) {
+    pub(super) async fn serve_datagrams(self: Rc<Self>, socket: UdpSocket) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -31,7 +31,7 @@
 
 /// Interval between health checks of a target that is assumed cold until it answers: as short
 /// as the shortest interval for targets in use.
-const ASSUMED_COLD_INTERVAL: MicroTime = MicroTime::from_millis(40);
+const ASSUMED_COLD_CHECK_INTERVAL: MicroTime = MicroTime::from_millis(40);
 
 /// Maximum wait for the answer to a health check: a later one would be out of date.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
@@ -41,18 +41,21 @@
 
 /// Maximum number of attempts to discover the target; after them the guard waits for its
 /// heartbeat.
-const DISCOVERY_ATTEMPTS: u32 = 30;
+const MAX_DISCOVERY_ATTEMPTS: u32 = 30;
 
 /// Sends health checks to targets in use whose last known slowness is out of date.
-pub(crate) fn poll_stale_targets(duty: &Rc<GuardDuty>, now: MicroTime) {
+pub(crate) fn check_stale_targets(duty: &Rc<GuardDuty>, now: MicroTime) {
     let mut targets = duty.targets.borrow_mut();
     for (key, target) in targets.iter_mut() {
         let assumed_cold =
             target.queue.cold_start().is_assumed_cold() && target.queue.cold_start().is_cold(now);
         let in_use =
             now.since(target.last_call_at) < IN_USE_WINDOW || target.running() > 0 || assumed_cold;
-        let interval =
-            if assumed_cold { ASSUMED_COLD_INTERVAL } else { target.queue.speed().stale_after() };
+        let interval = if assumed_cold {
+            ASSUMED_COLD_CHECK_INTERVAL
+        } else {
+            target.queue.speed().stale_after()
+        };
         let stale = now.since(target.slowness_updated_at) >= interval;
         if !(in_use && stale && target.is_open()) {
             continue;
@@ -61,34 +64,35 @@
         // Counts as updated, so that the next check comes after the answer to this one.
         target.slowness_updated_at = now;
         let address = target.announcement.address;
-        tokio::task::spawn_local(poll_target(Rc::clone(duty), key.clone(), address, path));
+        tokio::task::spawn_local(check_target(Rc::clone(duty), key.clone(), address, path));
     }
 }
 
 /// Sends a health check to a target and applies its answer; without one, the target counts as
 /// cold.
-async fn poll_target(
+async fn check_target(
     duty: Rc<GuardDuty>,
     key: (ServiceName, TargetName),
     address: SocketAddr,
     path: String,
 ) {
-    let Some(reply) = fetch_health(&duty, address, &path).await else {
+    let Some(answer) = fetch_health(&duty, address, &path).await else {
         duty.assume_cold(&key);
         return;
     };
     let names = duty.names;
-    let responder = names.responding_target.and_then(|name| headers::get_str(&reply.headers, name));
+    let responder =
+        names.responding_target.and_then(|name| headers::get_str(&answer.headers, name));
     if responder.is_some_and(|name| name != key.1.as_str()) {
         return;
     }
     duty.update_cold_remaining(
         &key,
-        parse_cold_remaining(&reply.headers, names),
+        parse_cold_remaining(&answer.headers, names),
         ColdSource::Answer,
     );
     if let Some(percent) =
-        target_call::parse_slowness(&reply.headers, names).filter(|_| reply.healthy)
+        target_call::parse_slowness(&answer.headers, names).filter(|_| answer.healthy)
     {
         duty.update_slowness(&key, percent);
     }
@@ -97,8 +101,8 @@
 /// Reads how much longer a target stays cold; zero if the header is missing or invalid.
 fn parse_cold_remaining(answer_headers: &HeaderMap, names: &HeaderNames) -> Duration {
     let text = names.cold_remaining_ms.and_then(|name| headers::get_str(answer_headers, name));
-    let left_ms = text.and_then(|text| text.trim().parse::<f64>().ok()).unwrap_or_default();
-    Duration::try_from_secs_f64(left_ms / 1_000.0).unwrap_or_default()
+    let remaining_ms = text.and_then(|text| text.trim().parse::<f64>().ok()).unwrap_or_default();
+    Duration::try_from_secs_f64(remaining_ms / 1_000.0).unwrap_or_default()
 }
 
 /// Discovers the target of this host at the daemon's start, before its first heartbeat.
@@ -107,18 +111,18 @@
     service: ServiceName,
     address: SocketAddr,
 ) {
-    for _ in 0..DISCOVERY_ATTEMPTS {
+    for _ in 0..MAX_DISCOVERY_ATTEMPTS {
         if !duty.targets.borrow().is_empty() {
             return;
         }
         if let Some(path) = duty.health_path()
-            && let Some(reply) =
-                fetch_health(&duty, address, &path).await.filter(|reply| reply.healthy)
-            && let Some(announcement) = read_announcement(&duty, &reply.headers, &service, address)
+            && let Some(answer) =
+                fetch_health(&duty, address, &path).await.filter(|answer| answer.healthy)
+            && let Some(announcement) = read_announcement(&duty, &answer.headers, &service, address)
             && duty.targets.borrow().is_empty()
         {
             info!(duty.logger, "target discovered"; "target" => %announcement.target);
-            let cold_remaining = parse_cold_remaining(&reply.headers, duty.names);
+            let cold_remaining = parse_cold_remaining(&answer.headers, duty.names);
             duty.handle_report(TargetReport::Alive {
                 announcement,
                 started_at_ms: None,
@@ -168,10 +172,10 @@
     let address = duty.targets.borrow().get(key).map(|target| target.announcement.address);
     let Some(address) = address else { return TargetLiveness::Ended };
     if let Some(path) = duty.health_path()
-        && let Some(reply) = fetch_health(duty, address, &path).await
+        && let Some(answer) = fetch_health(duty, address, &path).await
     {
         let name = duty.names.responding_target;
-        let responder = name.and_then(|name| headers::get_str(&reply.headers, name));
+        let responder = name.and_then(|name| headers::get_str(&answer.headers, name));
         let is_same = responder.is_none_or(|responder| responder == key.1.as_str());
         return if is_same { TargetLiveness::Running } else { TargetLiveness::Ended };
     }
@@ -183,14 +187,14 @@
 }
 
 /// A target's answer to a health check.
-struct HealthReply {
+struct HealthAnswer {
     headers: HeaderMap,
     /// Whether the target reports itself as healthy.
     healthy: bool,
 }
 
 /// Sends a health check to a target; returns `None` if it gives no answer in time.
-async fn fetch_health(duty: &GuardDuty, address: SocketAddr, path: &str) -> Option<HealthReply> {
+async fn fetch_health(duty: &GuardDuty, address: SocketAddr, path: &str) -> Option<HealthAnswer> {
     duty.metrics.health_requests.inc();
     let make_request = || {
         let request = Request::get(path).header(http::header::HOST, address.to_string());
@@ -202,7 +206,7 @@
         let (parts, body) = response.into_parts();
         body.collect().await.ok()?;
         connection.release(&parts.headers);
-        Some(HealthReply { healthy: parts.status.is_success(), headers: parts.headers })
+        Some(HealthAnswer { healthy: parts.status.is_success(), headers: parts.headers })
     };
     timeout(HEALTH_TIMEOUT, exchange).await.ok()?
 }
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -55,7 +55,7 @@
 use crate::store::table::TableWrite;
 
 /// Interval between checks of leases, deadlines, load changes and stale health reports.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Retry delay for calls that the guard refuses without an estimate of the wait, such as those
 /// to a target that is leaving or gone, in milliseconds.
@@ -174,7 +174,7 @@
     });
     duty.quotas.terms.set(parts.quota_terms);
     spawn_local(Rc::clone(&duty).accept(listener));
-    spawn_local(Rc::clone(&duty).answer_datagrams(socket));
+    spawn_local(Rc::clone(&duty).serve_datagrams(socket));
     spawn_local(Rc::clone(&duty).tick());
     if let (Some(service), Some(address)) = (duty.own_service.clone(), parts.own_target) {
         spawn_local(health::discover_target(Rc::clone(&duty), service, address));
@@ -262,7 +262,7 @@
     }
 
     async fn tick(self: Rc<Self>) {
-        let mut timer = tokio::time::interval(TICK);
+        let mut timer = tokio::time::interval(TICK_INTERVAL);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             timer.tick().await;
@@ -274,7 +274,7 @@
             self.execute_actions(actions);
             self.apply_leases();
             self.notify_watchers(now);
-            health::poll_stale_targets(&self, now);
+            health::check_stale_targets(&self, now);
         }
     }
 
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::duty::target_report::{TargetAnnouncement, TargetReport};
 
 /// Maximum number of ended targets that are kept; a host has one target at a time.
-const MAX_ENDED: usize = 64;
+const MAX_ENDED_TARGETS: usize = 64;
 
 impl GuardDuty {
     /// Applies a report that a target, or the platform for it, sent to the daemon.
@@ -165,7 +165,7 @@
         let mut ended = self.ended.borrow_mut();
         ended.retain(|(other, _)| other != name);
         ended.push_back((name.clone(), incarnation));
-        if ended.len() > MAX_ENDED {
+        if ended.len() > MAX_ENDED_TARGETS {
             ended.pop_front();
         }
         drop(ended);
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -64,11 +64,11 @@
 
 /// Maximum reported cold time that is accepted: a target that reports nonsense must not be
 /// limited for good.
-const MAX_COLD_TIME: MicroTime = MicroTime::from_millis(60_000);
+const MAX_COLD_DURATION: MicroTime = MicroTime::from_millis(60_000);
 
 /// Time after which a target that is assumed cold and reports nothing counts as warm: by
 /// then a restarted target would be warm, and a running one has had several health checks.
-const ASSUMED_COLD_TIME: MicroTime = MicroTime::from_millis(5_000);
+const ASSUMED_COLD_DURATION: MicroTime = MicroTime::from_millis(5_000);
 
 /// Known state of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -222,7 +222,7 @@
     fn cold_end(&self) -> MicroTime {
         match self.state {
             ColdState::Until(end) => end,
-            ColdState::AssumedSince(since) => since + ASSUMED_COLD_TIME,
+            ColdState::AssumedSince(since) => since + ASSUMED_COLD_DURATION,
         }
     }
 
@@ -255,5 +255,5 @@
 
 /// Returns the end of the cold period of a target that reports to stay cold for `left`.
 fn reported_end(now: MicroTime, left: MicroTime) -> MicroTime {
-    if left == MicroTime(0) { now } else { now + left.min(MAX_COLD_TIME) + COLD_END_MARGIN }
+    if left == MicroTime(0) { now } else { now + left.min(MAX_COLD_DURATION) + COLD_END_MARGIN }
 }
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -15,11 +15,11 @@
 /// Time whose expected requests an entry asks for at once.
 const PREFETCH_TIME: MicroTime = MicroTime::from_millis(50);
 
-/// Maximum number of requests that an entry asks for at once.
-const MAX_ASKED: u16 = 64;
+/// Maximum number of requests in one request for a grant.
+const MAX_REQUESTED: u16 = 64;
 
 /// Time for which an entry asks no holder after all of them had nothing left to grant.
-const EXHAUSTED_TIME: MicroTime = MicroTime::from_millis(20);
+const EXHAUSTED_DURATION: MicroTime = MicroTime::from_millis(20);
 
 /// Half-life of an entry's estimate of an account's request rate, in seconds.
 const RATE_HALF_LIFE_S: f64 = 0.5;
@@ -67,13 +67,13 @@
             return QuotaDecision::Refuse(self.exhausted_wait_ms);
         }
         let expected = self.rate * PREFETCH_TIME.duration().as_secs_f64();
-        QuotaDecision::AskHolder((1 + expected as u16).min(MAX_ASKED))
+        QuotaDecision::AskHolder((1 + expected as u16).min(MAX_REQUESTED))
     }
 
-    /// Adds the requests that a holder granted; it was asked for them at `asked_at`.
-    pub fn add_grant(&mut self, asked_at: MicroTime, granted: u16) {
+    /// Adds the requests that a holder granted; the entry sent its request at `requested_at`.
+    pub fn add_grant(&mut self, requested_at: MicroTime, granted: u16) {
         if granted > 0 {
-            self.grants.push_back((asked_at + GRANT_LIFETIME, granted));
+            self.grants.push_back((requested_at + GRANT_LIFETIME, granted));
         }
     }
 
@@ -91,7 +91,7 @@
 
     /// Records that no holder has anything left to grant; callers may retry after `wait_ms`.
     pub fn mark_exhausted(&mut self, now: MicroTime, wait_ms: u32) {
-        self.exhausted_until = now + EXHAUSTED_TIME;
+        self.exhausted_until = now + EXHAUSTED_DURATION;
         self.exhausted_wait_ms = wait_ms;
     }
 }
--- a/src/decide/running_requests.rs
+++ b/src/decide/running_requests.rs
@@ -12,10 +12,10 @@
 
 /// Time for which an abandoned run may continue at its target: longer than the second or so by
 /// which a run outlives its connection.
-const ABANDONED_RUN_TIME: MicroTime = MicroTime::from_millis(1_000);
+const ABANDONED_RUN_DURATION: MicroTime = MicroTime::from_millis(1_000);
 
 /// Maximum number of abandoned runs that are kept.
-const MAX_ABANDONED: usize = 128;
+const MAX_ABANDONED_RUNS: usize = 128;
 
 /// A run of a request and the suspicion known at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub fn abandon(&mut self, now: MicroTime, call: CallId) {
         let Some(run) = self.running.remove(&call) else { return };
         self.abandoned.push_back((now, run));
-        if self.abandoned.len() > MAX_ABANDONED {
+        if self.abandoned.len() > MAX_ABANDONED_RUNS {
             self.abandoned.pop_front();
         }
     }
@@ -57,7 +57,8 @@
     /// Records the end of the target and drops all runs; returns the new crash record of each
     /// request that may have caused it.
     pub fn target_ended(&mut self, now: MicroTime) -> Vec<SuspectUpdate> {
-        let recent = self.abandoned.drain(..).filter(|(at, _)| now.since(*at) < ABANDONED_RUN_TIME);
+        let recent =
+            self.abandoned.drain(..).filter(|(at, _)| now.since(*at) < ABANDONED_RUN_DURATION);
         let runs = self.running.drain().map(|(_, run)| run).chain(recent.map(|(_, run)| run));
         let mut records: HashMap<RequestDigest, SuspectRecord> = HashMap::new();
         for run in runs {
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -47,14 +47,14 @@
 const FAILURE_COST: f64 = 8.0;
 
 /// Number of consecutive failures after which a target is ejected: not chosen for a while.
-const EJECT_AFTER: u32 = 5;
+const EJECT_AFTER_FAILURES: u32 = 5;
 
 /// Duration of the first ejection; it doubles with each further failure, up to 32 times.
-const EJECTION_TIME: MicroTime = MicroTime::from_millis(250);
+const EJECTION_DURATION: MicroTime = MicroTime::from_millis(250);
 
 /// Age of a target's latest report from which on the fleet's suspicion of its host counts for
 /// more than the report. A target in use here reports several times within this time.
-const RECENT_REPORT: MicroTime = MicroTime::from_millis(500);
+const RECENT_REPORT_AGE: MicroTime = MicroTime::from_millis(500);
 
 /// Location of a target and its guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -167,22 +167,22 @@
 
     /// Ejects a target at once whose guard can't be reached.
     pub fn eject(&mut self, now: MicroTime) {
-        self.failures = self.failures.max(EJECT_AFTER - 1);
+        self.failures = self.failures.max(EJECT_AFTER_FAILURES - 1);
         self.record_failure(now);
     }
 
     /// Returns whether the target is avoided while there are others: it is ejected, or its host
     /// is suspect and there is no recent report.
     pub(crate) fn is_avoided(&self, now: MicroTime) -> bool {
-        let is_silent = now.since(self.reported_at) >= RECENT_REPORT;
+        let is_silent = now.since(self.reported_at) >= RECENT_REPORT_AGE;
         self.ejected_until > now || (self.suspect && is_silent)
     }
 
     fn record_failure(&mut self, now: MicroTime) {
         self.failures += 1;
-        if self.failures >= EJECT_AFTER {
-            let doublings = (self.failures - EJECT_AFTER).min(5);
-            self.ejected_until = now + MicroTime(EJECTION_TIME.0 << doublings);
+        if self.failures >= EJECT_AFTER_FAILURES {
+            let doublings = (self.failures - EJECT_AFTER_FAILURES).min(5);
+            self.ejected_until = now + MicroTime(EJECTION_DURATION.0 << doublings);
         }
     }
 
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -24,7 +24,7 @@
 const MEMBER_PREFIX: &str = "fleet-member-";
 
 /// Wait between two attempts to read the rows at the start.
-const BOOTSTRAP_PAUSE: Duration = Duration::from_millis(500);
+const BOOTSTRAP_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Maximum random delay before a daemon reads the rows when the whole fleet starts.
 ///
@@ -32,12 +32,12 @@
 /// the rows of those that started before.
 const FIRST_START_JITTER: Duration = Duration::from_millis(1_500);
 
-/// First and maximum wait of a daemon without a revision before it reads one from the
+/// Minimum and maximum wait of a daemon without a revision before it reads one from the
 /// platform.
 ///
 /// Peers usually provide a revision before that; later ones are spread by the daemons that
 /// follow the store.
-const REVISION_POLL_PAUSES: (Duration, Duration) =
+const REVISION_POLL_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(700), Duration::from_secs(20));
 
 /// Number of failures that determines the wait before a member row is written again.
@@ -66,15 +66,15 @@
             if round.is_multiple_of(SEED_RETRY_ROUNDS) {
                 self.send_members(Vec::new(), false);
             }
-            tokio::time::sleep(BOOTSTRAP_PAUSE).await;
+            tokio::time::sleep(BOOTSTRAP_RETRY_INTERVAL).await;
         }
-        let mut pause = REVISION_POLL_PAUSES.0;
+        let mut pause = REVISION_POLL_BOUNDS.0;
         while self.revisions.borrow().active().is_none() {
             tokio::time::sleep(pause).await;
             if self.revisions.borrow().active().is_none() {
                 self.poll_wake.notify_one();
             }
-            pause = (pause * 2).min(REVISION_POLL_PAUSES.1);
+            pause = (pause * 2).min(REVISION_POLL_BOUNDS.1);
         }
     }
 
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -16,39 +16,39 @@
 
 /// Number of pending updates from which a full exchange is cheaper than gossip: more than
 /// gossip carries in two periods.
-const BULK_SYNC_THRESHOLD: usize = 32;
+const BULK_EXCHANGE_THRESHOLD: usize = 32;
 
 /// Minimum time between two full exchanges that a daemon starts while it has that many
 /// pending updates.
 ///
 /// Each exchange at least doubles the number of members that a daemon knows: daemons that
 /// all start at once know each other after 6 s, with gossip alone only after 56 s.
-const BULK_SYNC_INTERVAL: MicroTime = MicroTime::from_millis(500);
+const BULK_EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(500);
 
 /// Mean number of daemons of one data centre that start a full exchange with another data
-/// centre in [`REMOTE_SYNC_INTERVAL`].
+/// centre in [`REMOTE_EXCHANGE_INTERVAL`].
 ///
 /// The other daemons of the data centre learn the records from them.
-const REMOTE_SYNCS_PER_INTERVAL: f64 = 8.0;
+const REMOTE_EXCHANGES_PER_INTERVAL: f64 = 8.0;
 
 /// Minimum time between two full exchanges of one daemon with other data centres.
 ///
 /// Gossip carries new records across; an exchange only makes up for lost datagrams.
-const REMOTE_SYNC_INTERVAL: MicroTime = MicroTime::from_millis(15_000);
+const REMOTE_EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(15_000);
 
 /// Time for which the records of other data centres must differ before a full exchange
 /// with them: gossip has delivered the difference by then, or lost it.
-const REMOTE_SYNC_DELAY: MicroTime = MicroTime::from_millis(3_000);
+const REMOTE_EXCHANGE_DELAY: MicroTime = MicroTime::from_millis(3_000);
 
 /// Time from the start of a daemon to its first full exchange with another data centre.
 ///
 /// By then it has the records of its own data centre, and only the rest has to cross
 /// between data centres.
-pub(super) const FIRST_REMOTE_SYNC_DELAY: MicroTime = MicroTime::from_millis(3_000);
+pub(super) const FIRST_REMOTE_EXCHANGE_DELAY: MicroTime = MicroTime::from_millis(3_000);
 
 /// Minimum time between two full exchanges that a daemon starts; they take 0.3 kB/s per
 /// daemon while the fleet does not change.
-const SYNC_INTERVAL: MicroTime = MicroTime::from_millis(5_000);
+const EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(5_000);
 
 /// Number of other daemons up to which notices go to all of them instead of a sample.
 ///
@@ -91,7 +91,7 @@
     ///
     /// Does nothing if an exchange was made recently or gossip is enough to deliver the
     /// difference.
-    pub(super) fn sync_with(
+    pub(super) fn start_exchange_with(
         &mut self,
         now: MicroTime,
         host: &HostName,
@@ -100,33 +100,33 @@
     ) {
         let Some(known) = self.members.get(host) else { return };
         let pending = self.updates_left();
-        let is_bulk = pending >= BULK_SYNC_THRESHOLD;
-        if now < self.next_sync || !(is_bulk || pending == 0) {
+        let is_bulk = pending >= BULK_EXCHANGE_THRESHOLD;
+        if now < self.next_exchange || !(is_bulk || pending == 0) {
             return;
         }
         let is_local = known.record.is_in(&self.own.data_centre);
         if !is_local {
             let differs_since = *self.remote_differs_since.get_or_insert(now);
-            if now < self.next_remote_sync || now.since(differs_since) < REMOTE_SYNC_DELAY {
+            if now < self.next_remote_exchange || now.since(differs_since) < REMOTE_EXCHANGE_DELAY {
                 return;
             }
-            self.next_remote_sync = now + REMOTE_SYNC_INTERVAL;
-            let probability = REMOTE_SYNCS_PER_INTERVAL / self.local_size() as f64;
+            self.next_remote_exchange = now + REMOTE_EXCHANGE_INTERVAL;
+            let probability = REMOTE_EXCHANGES_PER_INTERVAL / self.local_size() as f64;
             if !rng.random_bool(probability.min(1.0)) {
                 return;
             }
         }
-        self.next_sync = now + if is_bulk { BULK_SYNC_INTERVAL } else { SYNC_INTERVAL };
+        self.next_exchange = now + if is_bulk { BULK_EXCHANGE_INTERVAL } else { EXCHANGE_INTERVAL };
         // The advertised address is used: the source address of the datagram may be translated
         // (NAT).
         out.push(MembershipAction::Sync { peer: known.record.peer });
     }
 
-    /// Sends the own record to newly learnt hosts.
+    /// Sends the own record to newly learnt hosts in notices.
     ///
     /// The total number of such notices is limited to [`CHANGE_FANOUT`], since other daemons
     /// learn of this one by gossip.
-    pub(super) fn announce_own_record(
+    pub(super) fn notify_new_hosts(
         &mut self,
         new_hosts: &[HostName],
         out: &mut Vec<MembershipAction>,
@@ -135,7 +135,7 @@
         for host in new_hosts {
             let Some(known) = self.members.get(host) else { continue };
             let is_local = known.record.is_in(&self.own.data_centre);
-            let left = &mut self.announcements_left;
+            let left = &mut self.own_notices_left;
             let left = if is_local { &mut left.local } else { &mut left.remote };
             if *left > 0 {
                 *left -= 1;
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -29,7 +29,9 @@
 use crate::base::clock::MicroTime;
 use crate::base::evacuation::EvacuationState;
 use crate::base::ids::HostName;
-use crate::base::member::{AdvertisedTarget, FleetView, MemberRecord, MemberState, SYNC_BUCKETS};
+use crate::base::member::{
+    AdvertisedTarget, EXCHANGE_BUCKETS, FleetView, MemberRecord, MemberState,
+};
 use crate::fleet::store_followers;
 pub use events::{MembershipAction, MembershipEvent};
 
@@ -84,12 +86,12 @@
     last_number: u64,
     period: u64,
     next_period: MicroTime,
-    next_sync: MicroTime,
-    next_remote_sync: MicroTime,
+    next_exchange: MicroTime,
+    next_remote_exchange: MicroTime,
     /// Since when the records of daemons in other data centres differ from the own.
     remote_differs_since: Option<MicroTime>,
-    /// Number of newly learnt daemons that may still get the own record at once.
-    announcements_left: PeerCounts,
+    /// Number of notices of the own record that may still be sent to newly learnt daemons.
+    own_notices_left: PeerCounts,
     /// XOR of the digests of all records, to detect differences.
     digest: u64,
     /// The newest known evacuation state; every message carries it.
@@ -116,10 +118,10 @@
             last_number: 0,
             period: 0,
             next_period: MicroTime(0),
-            next_sync: MicroTime(0),
-            next_remote_sync: MicroTime(0),
+            next_exchange: MicroTime(0),
+            next_remote_exchange: MicroTime(0),
             remote_differs_since: None,
-            announcements_left: CHANGE_FANOUT,
+            own_notices_left: CHANGE_FANOUT,
             evacuation: EvacuationState::default(),
             suspect_queue: SuspectQueue::default(),
             refutation_due: false,
@@ -207,7 +209,7 @@
     /// Returns the digest of each bucket of members.
     #[must_use]
     pub fn bucket_digests(&self) -> Vec<u64> {
-        let mut digests = vec![0; SYNC_BUCKETS];
+        let mut digests = vec![0; EXCHANGE_BUCKETS];
         for record in self.records() {
             digests[record.bucket()] ^= record.digest();
         }
@@ -258,7 +260,7 @@
         // The sender knows all other records, too, or got them in the same exchange.
         self.updates.count_full_receipt();
         new_hosts.shuffle(rng);
-        self.announce_own_record(&new_hosts, out);
+        self.notify_new_hosts(&new_hosts, out);
     }
 
     /// Applies a record: merges it, or refutes it if it is of the own host.
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::dissemination::{FIRST_REMOTE_SYNC_DELAY, PeerCounts};
+use super::dissemination::{FIRST_REMOTE_EXCHANGE_DELAY, PeerCounts};
 use super::{MembershipAction, MembershipState};
 use crate::base::clock::MicroTime;
 use crate::base::consts::{GOSSIP_PERIOD, SUSPECT_PERIODS};
@@ -73,7 +73,7 @@
         self.next_period = now + GOSSIP_PERIOD.into();
         if self.period == 0 {
             // A new daemon first gets records from its own data centre.
-            self.next_remote_sync = now + FIRST_REMOTE_SYNC_DELAY;
+            self.next_remote_exchange = now + FIRST_REMOTE_EXCHANGE_DELAY;
         }
         self.period += 1;
         self.expire_probe(now, out);
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -84,7 +84,7 @@
             out.push(MembershipAction::FetchRevision { peer: known.record.peer });
         }
         if digest != self.digest {
-            self.sync_with(now, &sender, rng, out);
+            self.start_exchange_with(now, &sender, rng, out);
         } else if sender_is_remote {
             self.remote_differs_since = None;
         }
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -27,7 +27,10 @@
     ///
     /// Returns the number of the peer's revision, or of the own if that is not older; returns
     /// `None` if one of the requests fails.
-    pub(super) async fn sync_and_fetch_revision(self: Rc<Self>, peer: SocketAddr) -> Option<u64> {
+    pub(super) async fn fetch_records_and_revision(
+        self: Rc<Self>,
+        peer: SocketAddr,
+    ) -> Option<u64> {
         let client = self.connect(peer, "exchange").await?;
         let digests = self.membership.borrow().bucket_digests();
         let request = client.differing_records(tarpc::context::current(), digests);
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -329,16 +329,17 @@
             // If no peer provides a revision in time, the platform duty reads it.
             self.finish_join(0, 0);
         }
-        let mut synced = 0;
+        let mut fetched = 0;
         let mut newest = 0;
-        let syncs = peers.into_iter().map(|peer| Rc::clone(&self).sync_and_fetch_revision(peer));
-        let mut revisions = futures::stream::iter(syncs).buffer_unordered(JOIN_PEERS);
+        let fetches =
+            peers.into_iter().map(|peer| Rc::clone(&self).fetch_records_and_revision(peer));
+        let mut revisions = futures::stream::iter(fetches).buffer_unordered(JOIN_PEERS);
         while let Some(revision) = revisions.next().await {
             let Some(revision) = revision else { continue };
-            synced += 1;
+            fetched += 1;
             newest = newest.max(revision);
-            self.finish_join(synced, newest);
-            if synced >= peers_needed {
+            self.finish_join(fetched, newest);
+            if fetched >= peers_needed {
                 break;
             }
         }
@@ -364,11 +365,11 @@
     }
 
     /// Lets the entry serve with the given revision or a later one.
-    fn finish_join(&self, synced_peers: usize, least_revision: u64) {
+    fn finish_join(&self, peers_read: usize, least_revision: u64) {
         if !self.joined.replace(true) {
             // The entry needs the members before it serves.
             self.publish_view();
-            info!(self.logger, "joined the fleet"; "peers" => synced_peers, "least_revision" => least_revision);
+            info!(self.logger, "joined the fleet"; "peers" => peers_read, "least_revision" => least_revision);
             drop(self.rings.entry.push(EntryEvent::Joined { least_revision }));
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -52,7 +52,8 @@
     AccountName, CallId, CentreName, DaemonIncarnation, HostName, ServiceName, TargetName,
 };
 pub use base::member::{
-    AdvertisedTarget, FleetView, GossipKind, GossipMessage, MemberRecord, MemberState, SYNC_BUCKETS,
+    AdvertisedTarget, EXCHANGE_BUCKETS, FleetView, GossipKind, GossipMessage, MemberRecord,
+    MemberState,
 };
 pub use base::suspect::{
     BLAMED_AFTER_CRASHES, RUNS_ALONE_AFTER_CRASHES, SuspectRecord, SuspectUpdate,
--- a/src/store/publish.rs
+++ b/src/store/publish.rs
@@ -14,7 +14,7 @@
 pub const HEAD_KEY: &str = "config-head";
 
 /// Number of attempts to read back the head row after the reply to a write was lost.
-const READ_BACK_ATTEMPTS: u32 = 5;
+const MAX_READ_BACK_ATTEMPTS: u32 = 5;
 
 /// Why a revision was not published.
 #[derive(Debug, Snafu)]
@@ -131,7 +131,7 @@
     client: &PlatformClient,
     head: RevisionHead,
 ) -> Result<RevisionHead, PublishError> {
-    for attempt in 0..READ_BACK_ATTEMPTS {
+    for attempt in 0..MAX_READ_BACK_ATTEMPTS {
         tokio::time::sleep(std::time::Duration::from_millis(100 << attempt)).await;
         match read_head(client).await {
             Ok(Some((found, _))) if found.publish == head.publish => return Ok(head),
