--- a/benches/policies/guards.rs
+++ b/benches/policies/guards.rs
@@ -34,7 +34,7 @@
                 AdmissionAction::Start(call) => self.start(target, call.0 as u64),
                 AdmissionAction::Refuse { call, .. } => {
                     let load = OrderedLoad(self.targets[target].queue.next_report(self.now));
-                    let leaving = self.targets[target].queue.is_leaving();
+                    let leaving = self.targets[target].queue.is_closed();
                     self.reply(call.0 as u64, AttemptEnd::Refused { load, leaving });
                 }
             }
--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -101,7 +101,7 @@
         model.schedule(third, ModelEvent::TroubleStart);
         model.schedule(third + third, ModelEvent::TroubleEnd);
         if scenario.trouble == Trouble::ColdStart {
-            model.targets[0].queue.leave(&mut Vec::new());
+            model.targets[0].queue.close(&mut Vec::new());
             model.forget(0);
         }
         while let Some(Reverse((at, _, event))) = model.queue.pop() {
--- a/benches/policies/troubles.rs
+++ b/benches/policies/troubles.rs
@@ -17,13 +17,13 @@
         let mut out = Vec::new();
         match self.plan.scenario.trouble {
             Trouble::FailFast => self.targets[0].failing = on,
-            Trouble::Drain if on => self.targets[0].queue.leave(&mut out),
+            Trouble::Drain if on => self.targets[0].queue.close(&mut out),
             Trouble::Drain => {
-                self.targets[0].queue.rejoin();
+                self.targets[0].queue.reopen();
                 self.rejoin(0);
             }
             Trouble::ColdStart if on => {
-                self.targets[0].queue.rejoin();
+                self.targets[0].queue.reopen();
                 self.targets[0].burst = 4.0;
                 self.rejoin(0);
             }
--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -58,7 +58,7 @@
     duty: Rc<EntryDuty>,
     service: ServiceName,
     target: TargetName,
-    started: MicroTime,
+    started_at: MicroTime,
     /// Time from the start of the attempt to the head of the answer, if there is one.
     latency: Option<MicroTime>,
     failed: bool,
@@ -112,7 +112,7 @@
         duty: Rc::clone(duty),
         service: call.service.clone(),
         target: target.clone(),
-        started: now,
+        started_at: now,
         latency: None,
         failed: false,
         unreachable: false,
@@ -301,7 +301,7 @@
     answer: &AnswerHead,
     reader: HeadReader,
 ) -> AttemptEnd {
-    let latency = outstanding.duty.clock.now().since(outstanding.started);
+    let latency = outstanding.duty.clock.now().since(outstanding.started_at);
     match answer {
         AnswerHead::Answered { call: echoed, .. }
         | AnswerHead::Refused { call: echoed, .. }
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -107,30 +107,30 @@
     work_us: f64,
     /// Part of the work that is estimated to be done, in microseconds at normal speed.
     done_us: f64,
-    started: MicroTime,
-    checked: MicroTime,
+    started_at: MicroTime,
+    checked_at: MicroTime,
 }
 
 impl AttemptProgress {
     fn open(duty: &EntryDuty, call: &CallerCall) -> Self {
         let work_us = duty.route_stats.borrow().work_us(&call.options);
         let now = duty.clock.now();
-        Self { work_us, done_us: 0.0, started: now, checked: now }
+        Self { work_us, done_us: 0.0, started_at: now, checked_at: now }
     }
 
     /// Adds the work done since the last check, at a target that is slower than normal by the
     /// factor `slowness`; returns when the attempt will end if the slowness stays the same.
     fn advance(&mut self, now: MicroTime, slowness: f64) -> MicroTime {
-        self.done_us += now.since(self.checked).0 as f64 / slowness;
-        self.checked = now;
-        let left_us = (self.work_us - self.done_us).max(0.0) * slowness;
-        now + MicroTime(left_us as u64)
+        self.done_us += now.since(self.checked_at).0 as f64 / slowness;
+        self.checked_at = now;
+        let remaining_us = (self.work_us - self.done_us).max(0.0) * slowness;
+        now + MicroTime(remaining_us as u64)
     }
 
     /// Returns whether the attempt has taken much longer than the average, for whatever reason.
     fn is_overdue(&self, now: MicroTime) -> bool {
         let overdue_time = MicroTime((self.work_us * OVERDUE_FACTOR) as u64).max(MIN_OVERDUE_TIME);
-        now.since(self.started) > overdue_time
+        now.since(self.started_at) > overdue_time
     }
 }
 
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -51,7 +51,7 @@
     pub(crate) path: String,
     pub(crate) headers: headers::HeaderList,
     pub(crate) body: Bytes,
-    pub(crate) arrived: MicroTime,
+    pub(crate) arrived_at: MicroTime,
     pub(crate) deadline: MicroTime,
     /// Claim of the idempotency key, for a call that must not run twice.
     pub(crate) claim: Option<KeyClaim>,
@@ -60,7 +60,7 @@
 impl CallerCall {
     /// Returns the time by which an answer meets the latency objective.
     pub(crate) fn objective(&self) -> MicroTime {
-        self.arrived + MicroTime::from_millis(u64::from(self.options.objective_ms))
+        self.arrived_at + MicroTime::from_millis(u64::from(self.options.objective_ms))
     }
 }
 
@@ -74,15 +74,15 @@
     request: Request<Incoming>,
     id: &Arc<str>,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let arrived = duty.clock.now();
+    let arrived_at = duty.clock.now();
     let (parts, body) = request.into_parts();
     let config = duty.config().ok_or_else(|| {
         responses::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
     })?;
     if duty.names.railspan_headers {
-        receive_account_call(duty, &config, arrived, &parts, body).await
+        receive_account_call(duty, &config, arrived_at, &parts, body).await
     } else {
-        receive_routed_call(duty, &config, arrived, &parts, body, id).await
+        receive_routed_call(duty, &config, arrived_at, &parts, body, id).await
     }
 }
 
@@ -90,7 +90,7 @@
 async fn receive_routed_call(
     duty: &EntryDuty,
     config: &FleetConfig,
-    arrived: MicroTime,
+    arrived_at: MicroTime,
     parts: &Parts,
     body: Incoming,
     id: &Arc<str>,
@@ -116,7 +116,7 @@
     if let (Some(name), Some(service)) = (names.caller_service, &duty.own_service) {
         forwarded.push((name.to_owned(), service.as_str().as_bytes().to_vec()));
     }
-    let deadline = arrived + MicroTime::from_millis(u64::from(options.deadline_ms));
+    let deadline = arrived_at + MicroTime::from_millis(u64::from(options.deadline_ms));
     let limit = config.limits.body_bytes.unwrap_or(DEFAULT_MAX_BODY);
     let service = route.choose_service(&mut duty.rng.borrow_mut()).clone();
     let body = read_body(body, &parts.headers, limit as usize).await?;
@@ -143,7 +143,7 @@
         path: path_and_query(parts).to_owned(),
         headers: forwarded,
         body,
-        arrived,
+        arrived_at,
         deadline,
         claim: None,
     })
@@ -153,7 +153,7 @@
 async fn receive_account_call(
     duty: &EntryDuty,
     config: &FleetConfig,
-    arrived: MicroTime,
+    arrived_at: MicroTime,
     parts: &Parts,
     body: Incoming,
 ) -> Result<CallerCall, Response<ResponseBody>> {
@@ -166,7 +166,7 @@
     let options = config.call_options(service, account, parts.method.as_str(), &path);
     let deadline_ms = parse_deadline(&parts.headers, options.deadline_ms)
         .ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "bad_deadline"))?;
-    let deadline = arrived + MicroTime::from_millis(u64::from(deadline_ms));
+    let deadline = arrived_at + MicroTime::from_millis(u64::from(deadline_ms));
     let body = read_body(body, &parts.headers, MAX_REQUEST_BODY).await?;
     duty.admit(account, "").await?;
     let (account_name, service_name) = (account.name.as_str(), service.name.as_str());
@@ -182,7 +182,7 @@
         path,
         headers: headers::forward_request_headers(&parts.headers, duty.names),
         body,
-        arrived,
+        arrived_at,
         deadline,
         claim: None,
     };
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -134,7 +134,7 @@
     ) -> QuotaResult {
         let mut result = QuotaResult::Unreachable;
         for (host, address) in self.holders(account, quota) {
-            let sent = self.clock.now();
+            let requested_at = self.clock.now();
             let Some(reply) = self.ask_holder(address, account, want).await else {
                 self.quotas.unresponsive.borrow_mut().insert(host, self.clock.now());
                 continue;
@@ -142,7 +142,9 @@
             self.quotas.unresponsive.borrow_mut().remove(&host);
             if reply.granted > 0 {
                 // One granted request is the current one, the rest are for later ones.
-                self.with_credit(account, |credit| credit.add_grant(sent, reply.granted - 1));
+                self.with_credit(account, |credit| {
+                    credit.add_grant(requested_at, reply.granted - 1)
+                });
                 return QuotaResult::Granted;
             }
             result = match (result, reply.wait_ms) {
--- a/src/call/entry/route_stats.rs
+++ b/src/call/entry/route_stats.rs
@@ -63,19 +63,19 @@
 
     /// Returns the estimate of a call by which its target is chosen.
     ///
-    /// `left` is the time left until its objective, `crossing_cost` the cost of sending 1000
+    /// `remaining` is the time left until its objective, `crossing_cost` the cost of sending 1000
     /// bytes between data centres, as a fraction of one call's benefit.
     pub(crate) fn estimate(
         &self,
         options: &CallOptions,
-        left: MicroTime,
+        remaining: MicroTime,
         crossing_cost: f64,
     ) -> CallEstimate {
         let known = self.routes.get(&options.kind);
         let bytes = known.map_or(0.0, |known| known.bytes) + HEAD_BYTES;
         CallEstimate {
             work_us: known.map_or_else(|| default_work_us(options), |known| known.work_us),
-            objective_us: left.0 as f64,
+            objective_us: remaining.0 as f64,
             crossing_cost: crossing_cost * bytes / 1_000.0,
         }
     }
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -128,9 +128,9 @@
         let mut registry = self.registry.borrow_mut();
         let targets = registry.services.get_mut(&call.service)?;
         let now = self.clock.now();
-        let left = call.objective().since(now);
+        let remaining = call.objective().since(now);
         let stats = self.route_stats.borrow();
-        let estimate = stats.estimate(&call.options, left, self.crossing_cost);
+        let estimate = stats.estimate(&call.options, remaining, self.crossing_cost);
         let mut rng = self.rng.borrow_mut();
         let suspect = self.suspects.borrow().record(call.digest);
         let is_suspected = suspect.is_suspected();
@@ -157,8 +157,8 @@
     pub(crate) fn can_be_in_time(&self, call: &CallerCall, tried: &[TargetName]) -> bool {
         let now = self.clock.now();
         let stats = self.route_stats.borrow();
-        let left = call.objective().since(now);
-        let mut estimate = stats.estimate(&call.options, left, self.crossing_cost);
+        let remaining = call.objective().since(now);
+        let mut estimate = stats.estimate(&call.options, remaining, self.crossing_cost);
         if !stats.knows(&call.options.kind) {
             // An assumed work time is no reason to keep a read waiting at a target that hangs;
             // with zero, the service times that the targets report are used instead.
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -78,11 +78,11 @@
     }
 
     async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
-        let arrived = self.clock.now();
+        let arrived_at = self.clock.now();
         let id = self.names.request_id.and_then(|name| headers::get_str(request.headers(), name));
         let id: Arc<str> = Arc::from(id.unwrap_or_default());
         let in_progress =
-            CallInProgress { duty: &self, id: &id, arrived, answered: Cell::new(false) };
+            CallInProgress { duty: &self, id: &id, arrived_at, answered: Cell::new(false) };
         let mut response = match intake::receive(&self, request, &id).await {
             Ok(call) => self.route(call).await,
             Err(refusal) => refusal,
@@ -90,7 +90,7 @@
         let outcome = response.headers().get(headers::OUTCOME);
         let outcome = outcome.and_then(|value| value.to_str().ok()).unwrap_or("none");
         self.metrics.calls.with_label_values(&[outcome]).inc();
-        let took = self.clock.now().since(arrived);
+        let took = self.clock.now().since(arrived_at);
         self.metrics.latency.observe(took.duration().as_secs_f64());
         in_progress.answered.set(true);
         self.log_response(&id, &response, took);
@@ -156,14 +156,14 @@
 struct CallInProgress<'a> {
     duty: &'a EntryDuty,
     id: &'a str,
-    arrived: MicroTime,
+    arrived_at: MicroTime,
     answered: Cell<bool>,
 }
 
 impl Drop for CallInProgress<'_> {
     fn drop(&mut self) {
         if !self.answered.get() {
-            let elapsed = self.duty.clock.now().since(self.arrived);
+            let elapsed = self.duty.clock.now().since(self.arrived_at);
             info!(self.duty.logger, "caller disconnected"; "id" => self.id, "after_us" => elapsed.0);
         }
     }
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -55,7 +55,7 @@
         lease_duration: Duration,
     ) -> Self {
         let mut queue = AdmissionQueue::open(announcement.slots);
-        queue.leave(&mut Vec::new());
+        queue.close(&mut Vec::new());
         Self {
             lease: TargetLease::open(now, announcement.condition, lease_duration),
             announcement,
@@ -92,7 +92,7 @@
         lease_duration: Duration,
         refusals: &mut Vec<AdmissionAction>,
     ) {
-        self.queue.leave(refusals);
+        self.queue.close(refusals);
         let cold = self.queue.cold_start().clone();
         let (incarnation, claiming) = (self.incarnation, self.claiming);
         *self = Self::open(now, announcement, incarnation, lease_duration);
@@ -117,7 +117,7 @@
 
     /// Returns whether the target accepts new calls.
     pub(crate) const fn is_open(&self) -> bool {
-        !self.queue.is_leaving()
+        !self.queue.is_closed()
     }
 
     /// Returns the inputs of the guard's decisions about the target, as JSON.
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -196,13 +196,13 @@
             let ready = target.lease.is_ready(now) && !stopping;
             changed |= ready != std::mem::replace(&mut target.advertised_ready, ready);
             let open = ready && !self.evacuated.get();
-            if open == target.queue.is_leaving() {
+            if open == target.queue.is_closed() {
                 info!(self.logger, "target state changed";
                     "name" => %target.announcement.target, "ready" => ready, "open" => open);
                 if open {
-                    target.queue.rejoin();
+                    target.queue.reopen();
                 } else {
-                    target.queue.leave(&mut actions);
+                    target.queue.close(&mut actions);
                 }
             }
         }
--- a/src/decide/admission/forecast.rs
+++ b/src/decide/admission/forecast.rs
@@ -25,12 +25,12 @@
     /// Returns the expected remaining time of a running call.
     pub(super) fn remaining_time(&self, call: &RunningCall) -> MicroTime {
         if call.work_us == 0 {
-            let left = self.service_us - self.now.since(call.started_at).0 as f64;
-            return MicroTime(left.max(self.service_us * OVERDUE_FRACTION) as u64);
+            let remaining = self.service_us - self.now.since(call.started_at).0 as f64;
+            return MicroTime(remaining.max(self.service_us * OVERDUE_FRACTION) as u64);
         }
         let total = f64::from(call.work_us) * call.slowness;
-        let left = total - self.now.since(call.started_at).0 as f64;
-        MicroTime(left.max(total * OVERDUE_FRACTION) as u64)
+        let remaining = total - self.now.since(call.started_at).0 as f64;
+        MicroTime(remaining.max(total * OVERDUE_FRACTION) as u64)
     }
 
     /// Returns the expected time until a call gets a slot if the calls in `ahead` get
--- a/src/decide/admission/mod.rs
+++ b/src/decide/admission/mod.rs
@@ -78,8 +78,8 @@
     slowness: u16,
     /// Moving average of the fraction of failed answers.
     failure_rate: f64,
-    /// Whether all calls are refused because the target is leaving.
-    leaving: bool,
+    /// Whether all arrivals are refused, since the target is leaving or may not start calls.
+    closed: bool,
     /// Sequence number of the latest load report.
     sequence: u64,
     /// Latest time at which a call reached its queue deadline without a slot.
@@ -102,7 +102,7 @@
             service_us: INITIAL_SERVICE_US,
             slowness: 0,
             failure_rate: 0.0,
-            leaving: false,
+            closed: false,
             sequence: 0,
             last_expiry: None,
             now: MicroTime(0),
@@ -134,27 +134,27 @@
         debug_assert!(self.waiting.iter().all(has_to_wait), "a call waits despite a free slot");
         let is_running = |call: &WaitingCall| self.running.contains_key(&call.call);
         debug_assert!(!self.waiting.iter().any(is_running), "a call is both waiting and running");
-        debug_assert!(!self.leaving || self.waiting.is_empty(), "a call waits at a leaving target");
+        debug_assert!(!self.closed || self.waiting.is_empty(), "a call waits in a closed queue");
     }
 
     /// Refuses all waiting calls and, from now on, all arrivals.
-    pub fn leave(&mut self, out: &mut Vec<AdmissionAction>) {
-        self.leaving = true;
+    pub fn close(&mut self, out: &mut Vec<AdmissionAction>) {
+        self.closed = true;
         let waiting = std::mem::take(&mut self.waiting);
         for call in waiting {
             out.push(self.refuse(call.call, RefusalReason::Leaving));
         }
     }
 
-    /// Accepts calls again after [`Self::leave`].
-    pub fn rejoin(&mut self) {
-        self.leaving = false;
+    /// Accepts calls again after [`Self::close`].
+    pub fn reopen(&mut self) {
+        self.closed = false;
     }
 
-    /// Returns whether the target is leaving.
+    /// Returns whether all arrivals are refused.
     #[must_use]
-    pub const fn is_leaving(&self) -> bool {
-        self.leaving
+    pub const fn is_closed(&self) -> bool {
+        self.closed
     }
 
     /// Changes the number of slots.
@@ -246,7 +246,7 @@
     }
 
     fn arrive(&mut self, call: WaitingCall, out: &mut Vec<AdmissionAction>) {
-        if self.leaving {
+        if self.closed {
             out.push(self.refuse(call.call, RefusalReason::Leaving));
             return;
         }
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -117,43 +117,44 @@
     }
 
     /// Assumes that an earlier guard of this target used up the limit until this guard took
-    /// over at `started`.
-    pub fn block_for_predecessor(&mut self, started: MicroTime) {
-        self.blocked_until = started + COLD_RATE_WINDOW;
+    /// over at `started_at`.
+    pub fn block_for_predecessor(&mut self, started_at: MicroTime) {
+        self.blocked_until = started_at + COLD_RATE_WINDOW;
     }
 
     /// Lifts the block for an earlier guard if the target turned cold when that guard had
     /// already ended and so can't have started calls in this cold period.
     ///
     /// The target reports at `now`, counted from the start of this guard, that it stays cold
-    /// for `left`; it is cold for `lasts` after its start. Must be called before the report
+    /// for `remaining`; it is cold for `lasts` after its start. Must be called before the report
     /// is passed to [`Self::note_health_answer`] or [`Self::note_heartbeat`].
     ///
     /// The block stays if the target was cold already and has restarted, because the earlier
     /// guard may have started calls in the first cold period: a guard that was killed between
     /// the two let 11 and then 11 more calls start within a second, at a target that sustains
     /// 13 (soak test, seed 2101).
-    pub fn note_cold_start(&mut self, now: MicroTime, left: MicroTime, lasts: MicroTime) {
+    pub fn note_cold_start(&mut self, now: MicroTime, remaining: MicroTime, lasts: MicroTime) {
         let is_new =
-            |end: MicroTime| now < end && reported_end(now, left) > end + COLD_END_TOLERANCE;
+            |end: MicroTime| now < end && reported_end(now, remaining) > end + COLD_END_TOLERANCE;
         let was_cold_before = matches!(self.state, ColdState::Until(end) if is_new(end));
-        if !was_cold_before && left <= lasts && lasts.since(left) < now + MIN_RESTART_TIME {
+        if !was_cold_before && remaining <= lasts && lasts.since(remaining) < now + MIN_RESTART_TIME
+        {
             self.blocked_until = MicroTime(0);
         }
     }
 
-    /// Records the target's answer to a health check: it stays cold for `left`, or is warm if
-    /// `left` is zero.
-    pub fn note_health_answer(&mut self, now: MicroTime, left: MicroTime) {
-        self.state = ColdState::Until(reported_end(now, left));
+    /// Records the target's answer to a health check: it stays cold for `remaining`, or is warm if
+    /// `remaining` is zero.
+    pub fn note_health_answer(&mut self, now: MicroTime, remaining: MicroTime) {
+        self.state = ColdState::Until(reported_end(now, remaining));
     }
 
-    /// Records a heartbeat that reports that the target stays cold for `left`.
+    /// Records a heartbeat that reports that the target stays cold for `remaining`.
     ///
     /// Since the heartbeat may be late, it can't shorten a known cold period or end an
     /// assumed one.
-    pub fn note_heartbeat(&mut self, now: MicroTime, left: MicroTime) {
-        let reported = reported_end(now, left);
+    pub fn note_heartbeat(&mut self, now: MicroTime, remaining: MicroTime) {
+        let reported = reported_end(now, remaining);
         self.state = match self.state {
             ColdState::Until(known) => ColdState::Until(known.max(reported)),
             assumed @ ColdState::AssumedSince(_) => assumed,
@@ -253,7 +254,11 @@
     }
 }
 
-/// Returns the end of the cold period of a target that reports to stay cold for `left`.
-fn reported_end(now: MicroTime, left: MicroTime) -> MicroTime {
-    if left == MicroTime(0) { now } else { now + left.min(MAX_COLD_DURATION) + COLD_END_MARGIN }
+/// Returns the end of the cold period of a target that reports to stay cold for `remaining`.
+fn reported_end(now: MicroTime, remaining: MicroTime) -> MicroTime {
+    if remaining == MicroTime(0) {
+        now
+    } else {
+        now + remaining.min(MAX_COLD_DURATION) + COLD_END_MARGIN
+    }
 }
--- a/src/decide/target_incarnation.rs
+++ b/src/decide/target_incarnation.rs
@@ -19,13 +19,13 @@
 
 /// The newest known incarnation of one target.
 ///
-/// Invariants: `started_ms` never decreases; messages that are late or of an earlier incarnation
+/// Invariants: `started_at_ms` never decreases; messages that are late or of an earlier incarnation
 /// change nothing; an ended incarnation never becomes current again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetIncarnation {
     /// Start time in milliseconds by the target's clock; `None` if the target reports none.
     #[serde(rename = "born")]
-    started_ms: Option<u64>,
+    started_at_ms: Option<u64>,
     /// Greatest sequence number of its heartbeats; zero before the first.
     sequence: u64,
     ended: bool,
@@ -34,20 +34,20 @@
 impl TargetIncarnation {
     /// Creates the incarnation that a first heartbeat, or an answer, reported.
     #[must_use]
-    pub const fn open(started_ms: Option<u64>, sequence: u64) -> Self {
-        Self { started_ms, sequence, ended: false }
+    pub const fn open(started_at_ms: Option<u64>, sequence: u64) -> Self {
+        Self { started_at_ms, sequence, ended: false }
     }
 
     /// Classifies and records a heartbeat. One without a sequence number is never late within
     /// its incarnation.
     pub fn note_heartbeat(
         &mut self,
-        started_ms: Option<u64>,
+        started_at_ms: Option<u64>,
         sequence: Option<u64>,
     ) -> HeartbeatVerdict {
-        match (self.started_ms, started_ms) {
+        match (self.started_at_ms, started_at_ms) {
             (Some(known), Some(reported)) if reported > known => {
-                *self = Self::open(started_ms, sequence.unwrap_or_default());
+                *self = Self::open(started_at_ms, sequence.unwrap_or_default());
                 return HeartbeatVerdict::Restarted;
             }
             (Some(known), Some(reported)) if reported < known => return HeartbeatVerdict::Stale,
@@ -58,19 +58,19 @@
         if self.ended || sequence.is_some_and(|sequence| sequence <= self.sequence) {
             return HeartbeatVerdict::Stale;
         }
-        self.started_ms = started_ms;
+        self.started_at_ms = started_at_ms;
         self.sequence = sequence.unwrap_or_default();
         HeartbeatVerdict::Current
     }
 
     /// Records the end of an incarnation; returns `false` if it was an earlier one.
-    pub fn end(&mut self, started_ms: Option<u64>) -> bool {
-        if let (Some(known), Some(reported)) = (self.started_ms, started_ms)
+    pub fn end(&mut self, started_at_ms: Option<u64>) -> bool {
+        if let (Some(known), Some(reported)) = (self.started_at_ms, started_at_ms)
             && reported < known
         {
             return false;
         }
-        self.started_ms = self.started_ms.max(started_ms);
+        self.started_at_ms = self.started_at_ms.max(started_at_ms);
         self.ended = true;
         true
     }
@@ -79,7 +79,7 @@
     /// either is unknown.
     #[must_use]
     pub const fn is_older_than(&self, other: &Self) -> bool {
-        match (self.started_ms, other.started_ms) {
+        match (self.started_at_ms, other.started_at_ms) {
             (Some(own), Some(other)) => own < other,
             _ => false,
         }
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -135,10 +135,11 @@
         for host in new_hosts {
             let Some(known) = self.members.get(host) else { continue };
             let is_local = known.record.is_in(&self.own.data_centre);
-            let left = &mut self.own_notices_left;
-            let left = if is_local { &mut left.local } else { &mut left.remote };
-            if *left > 0 {
-                *left -= 1;
+            let notices_left = &mut self.own_notices_left;
+            let notices_left =
+                if is_local { &mut notices_left.local } else { &mut notices_left.remote };
+            if *notices_left > 0 {
+                *notices_left -= 1;
                 peers.push(known.record.peer);
             }
         }
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -42,7 +42,7 @@
 pub(super) struct PendingProbe {
     pub(super) host: HostName,
     pub(super) number: u64,
-    pub(super) sent: MicroTime,
+    pub(super) sent_at: MicroTime,
     /// Whether other daemons were asked for an indirect probe.
     pub(super) indirect: bool,
 }
@@ -54,7 +54,7 @@
     pub(super) requester: SocketAddr,
     pub(super) request_number: u64,
     pub(super) number: u64,
-    pub(super) sent: MicroTime,
+    pub(super) sent_at: MicroTime,
 }
 
 impl MembershipState {
@@ -105,14 +105,14 @@
         self.last_number += 1;
         let number = self.last_number;
         let is_remote = self.is_remote_host(&host);
-        self.unreached_probes.push(PendingProbe { host, number, sent: now, indirect: false });
+        self.unreached_probes.push(PendingProbe { host, number, sent_at: now, indirect: false });
         let message = self.piggyback_message(GossipKind::Ping, number, is_remote);
         out.push(MembershipAction::Send { to, message });
     }
 
     /// Suspects the members that calls could not reach and that did not answer the probe.
     fn expire_unreached_probes(&mut self, now: MicroTime, out: &mut Vec<MembershipAction>) {
-        let is_late = |probe: &PendingProbe| now.since(probe.sent) >= UNREACHED_PROBE_TIMEOUT;
+        let is_late = |probe: &PendingProbe| now.since(probe.sent_at) >= UNREACHED_PROBE_TIMEOUT;
         let late: Vec<PendingProbe> =
             self.unreached_probes.extract_if(.., |probe| is_late(probe)).collect();
         for probe in late {
@@ -129,7 +129,7 @@
     ) {
         let timeout = MicroTime::from(GOSSIP_PERIOD / 2);
         let Some(probe) = &mut self.pending_probe else { return };
-        if probe.indirect || now.since(probe.sent) < timeout {
+        if probe.indirect || now.since(probe.sent_at) < timeout {
             return;
         }
         probe.indirect = true;
@@ -186,7 +186,7 @@
             }
         }
         let proxy_timeout = MicroTime::from(GOSSIP_PERIOD * 4);
-        self.proxies.retain(|proxy| now.since(proxy.sent) < proxy_timeout);
+        self.proxies.retain(|proxy| now.since(proxy.sent_at) < proxy_timeout);
     }
 
     /// Sends the probe of this period.
@@ -206,7 +206,7 @@
         self.last_number += 1;
         let number = self.last_number;
         let is_remote = self.is_remote_host(&host);
-        self.pending_probe = Some(PendingProbe { host, number, sent: now, indirect: false });
+        self.pending_probe = Some(PendingProbe { host, number, sent_at: now, indirect: false });
         let message = self.piggyback_message_with(GossipKind::Ping, number, is_remote, suspicion);
         out.push(MembershipAction::Send { to, message });
     }
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -63,7 +63,7 @@
                     requester: from,
                     request_number: number,
                     number: self.last_number,
-                    sent: now,
+                    sent_at: now,
                 };
                 self.proxies.push(proxy);
                 let message = self.piggyback_message(GossipKind::Ping, self.last_number, true);
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -38,7 +38,7 @@
     /// Number of known daemons at the last growth by more than [`GROWTH_THRESHOLD`].
     size_at_growth: usize,
     /// Time of that growth.
-    last_growth: MicroTime,
+    last_growth_at: MicroTime,
     /// Whether nearly the whole fleet is known.
     view_complete: bool,
     /// Whether this daemon was among the selected followers at the last computation.
@@ -64,9 +64,9 @@
     ) -> bool {
         if size as f64 > self.size_at_growth as f64 * (1.0 + GROWTH_THRESHOLD) {
             self.size_at_growth = size;
-            self.last_growth = now;
+            self.last_growth_at = now;
         }
-        self.view_complete |= now.since(self.last_growth) >= GROWTH_TIMEOUT;
+        self.view_complete |= now.since(self.last_growth_at) >= GROWTH_TIMEOUT;
         if let Some(is_selected) = is_selected {
             self.is_selected = is_selected();
         }
--- a/src/process/stop.rs
+++ b/src/process/stop.rs
@@ -62,12 +62,12 @@
     }
 }
 
-/// Stops all duties: announces the leave to the peers, finishes the calls, and removes the
+/// Stops all duties: notifies the peers of the leave, finishes the calls, and removes the
 /// member row.
 pub(crate) async fn stop_duties(rings: &AdminRings, plan: StopPlan, logger: &Logger) {
     let StopPlan { drain, limit } = plan;
     info!(logger, "planned stop"; "bound_ms" => limit.as_millis() as u64);
-    let (leave_done, left) = oneshot::channel();
+    let (leave_done, peers_notified) = oneshot::channel();
     let leave_sent = rings.peers.push(PeersEvent::Leave(leave_done)).is_ok();
     // Runs beside the other steps, so that an unavailable platform doesn't delay the stop.
     let (withdraw_done, withdrawn) = oneshot::channel();
@@ -86,7 +86,7 @@
         warn!(logger, "stop limit reached with calls in progress");
     }
     if leave_sent {
-        drop(tokio::time::timeout(LEAVE_TIMEOUT, left).await);
+        drop(tokio::time::timeout(LEAVE_TIMEOUT, peers_notified).await);
         tokio::time::sleep(LEAVE_TIMEOUT.saturating_sub(drain)).await;
     }
     if withdraw_sent {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -83,8 +83,8 @@
                     now = now + MicroTime(us);
                     queue.step(now, AdmissionEvent::Tick, &mut out);
                 }
-                Step::Leave => queue.leave(&mut out),
-                Step::Rejoin => queue.rejoin(),
+                Step::Leave => queue.close(&mut out),
+                Step::Rejoin => queue.reopen(),
                 Step::Finish { .. } | Step::Cancel { .. } => {}
             }
             for action in out {
@@ -94,7 +94,7 @@
                 prop_assert!(ended.insert(call), "two answers for one call");
                 if let AdmissionAction::Start(call) = action {
                     prop_assert!(deadline > Some(now), "started after its deadline");
-                    prop_assert!(!queue.is_leaving(), "started while leaving");
+                    prop_assert!(!queue.is_closed(), "started while leaving");
                     prop_assert!(running.len() < queue.limit(), "started beyond the limit");
                     running.push(call);
                 }
