--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub(crate) struct PlatformParts {
     pub(crate) client: PlatformClient,
-    pub(crate) own: MemberRecord,
+    pub(crate) own_record: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) source: ConfigSource,
     /// Whether the whole fleet starts for the first time, so that many daemons read the rows
@@ -96,7 +96,7 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PlatformParts { client, own, seed, source, first_start } = parts;
+    let PlatformParts { client, own_record, seed, source, first_start } = parts;
     let duty = Rc::new(PlatformDuty {
         client,
         revisions: RefCell::default(),
@@ -114,8 +114,8 @@
         rings,
         logger,
     });
-    spawn_local(Rc::clone(&duty).bootstrap(own.clone(), first_start));
-    spawn_local(Rc::clone(&duty).maintain_member_row(own.clone()));
+    spawn_local(Rc::clone(&duty).bootstrap(own_record.clone(), first_start));
+    spawn_local(Rc::clone(&duty).maintain_member_row(own_record.clone()));
     match source {
         ConfigSource::Published => spawn_local(Rc::clone(&duty).poll_heads()),
         ConfigSource::Operator => spawn_local(Rc::clone(&duty).watch_operator_config()),
@@ -131,7 +131,7 @@
             PlatformEvent::FleetSize(size) => *duty.fleet_size.borrow_mut() = size,
             PlatformEvent::Dump(reply) => drop(reply.send(duty.dump())),
             PlatformEvent::Leave(done) => {
-                spawn_local(Rc::clone(&duty).remove_member_row(own.clone(), done));
+                spawn_local(Rc::clone(&duty).remove_member_row(own_record.clone(), done));
             }
         }
     }
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -49,14 +49,14 @@
 impl PlatformDuty {
     /// Reads the rows at the start, with retries; then requests a revision as long as no peer
     /// has provided one.
-    pub(super) async fn bootstrap(self: Rc<Self>, own: MemberRecord, first_start: bool) {
+    pub(super) async fn bootstrap(self: Rc<Self>, own_record: MemberRecord, first_start: bool) {
         if first_start {
             // All daemons start at once; most of them should find the rows of earlier ones.
             let delay = FIRST_START_JITTER.mul_f64(self.rng.borrow_mut().random_range(0.0..1.0));
             tokio::time::sleep(delay).await;
         }
         for round in 0_u32.. {
-            match self.read_start_rows(&own).await {
+            match self.read_start_rows(&own_record).await {
                 Ok(()) => break,
                 Err(error) if round == 0 => {
                     warn!(self.logger, "platform unavailable at start"; "error" => %error);
@@ -79,7 +79,10 @@
     }
 
     /// Reads the rows of members and blamed requests and passes them to the peers duty.
-    pub(super) async fn read_start_rows(&self, own: &MemberRecord) -> Result<(), PlatformError> {
+    pub(super) async fn read_start_rows(
+        &self,
+        own_record: &MemberRecord,
+    ) -> Result<(), PlatformError> {
         let rows = self.client.rows(START_PREFIX).await;
         self.count("members", &rows);
         let rows = rows?;
@@ -88,7 +91,7 @@
         for row in rows.into_iter().filter(|row| row.key.starts_with(MEMBER_PREFIX)) {
             match serde_json::from_str::<MemberRecord>(&row.value) {
                 Ok(record) => {
-                    if record.host == own.host && same_addresses(&record, own) {
+                    if record.host == own_record.host && same_addresses(&record, own_record) {
                         self.own_row_version.set(Some(row.version));
                     }
                     members.push(record);
@@ -127,7 +130,7 @@
     ///
     /// The rows are read again after each write: of two daemons that know no others and
     /// write at the same time, the later writer reads the row of the other.
-    pub(super) async fn maintain_member_row(self: Rc<Self>, own: MemberRecord) {
+    pub(super) async fn maintain_member_row(self: Rc<Self>, own_record: MemberRecord) {
         let mut following = self.following.subscribe();
         loop {
             // Fails only after the sender was dropped, when the runtime ends.
@@ -135,7 +138,7 @@
                 return;
             }
             if self.own_row_version.get().is_none() {
-                match self.write_member_row(&own).await {
+                match self.write_member_row(&own_record).await {
                     Ok(version) => self.own_row_version.set(Some(version)),
                     Err(_counted) => {
                         tokio::time::sleep(self.retry_pause(ROW_RETRY_FAILURES)).await;
@@ -144,7 +147,7 @@
                 }
                 // Without this read, a daemon that wrote its row just before would stay
                 // unknown until other daemons find one of the two.
-                _ = self.read_start_rows(&own).await;
+                _ = self.read_start_rows(&own_record).await;
             }
             if following.changed().await.is_err() {
                 return;
@@ -153,11 +156,15 @@
     }
 
     /// Writes the own member row; returns its version.
-    pub(super) async fn write_member_row(&self, own: &MemberRecord) -> Result<u64, PlatformError> {
-        let value = serde_json::to_string(own);
+    pub(super) async fn write_member_row(
+        &self,
+        own_record: &MemberRecord,
+    ) -> Result<u64, PlatformError> {
+        let value = serde_json::to_string(own_record);
         let value =
             value.map_err(|error| PlatformError::InvalidData { reason: error.to_string() })?;
-        let write = TableWrite { key: member_key(own), expected_version: None, value: Some(value) };
+        let write =
+            TableWrite { key: member_key(own_record), expected_version: None, value: Some(value) };
         let written = self.client.commit(&[write]).await;
         self.count("announce", &written);
         Ok(written?.versions.first().copied().unwrap_or_default())
@@ -166,12 +173,15 @@
     /// Deletes the own member row, unless a later incarnation of this daemon has rewritten it.
     pub(super) async fn remove_member_row(
         self: Rc<Self>,
-        own: MemberRecord,
+        own_record: MemberRecord,
         done: oneshot::Sender<()>,
     ) {
         if let Some(version) = self.own_row_version.get() {
-            let write =
-                TableWrite { key: member_key(&own), expected_version: Some(version), value: None };
+            let write = TableWrite {
+                key: member_key(&own_record),
+                expected_version: Some(version),
+                value: None,
+            };
             self.count("withdraw", &self.client.commit(&[write]).await);
         }
         _ = done.send(());
@@ -183,6 +193,6 @@
     (left.guard, left.peer, left.caller) == (right.guard, right.peer, right.caller)
 }
 
-fn member_key(own: &MemberRecord) -> String {
-    format!("{MEMBER_PREFIX}{}", own.host)
+fn member_key(own_record: &MemberRecord) -> String {
+    format!("{MEMBER_PREFIX}{}", own_record.host)
 }
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -104,7 +104,7 @@
         if now < self.next_exchange || !(is_bulk || pending == 0) {
             return;
         }
-        let is_local = known.record.is_in(&self.own.data_centre);
+        let is_local = known.record.is_in(&self.own_record.data_centre);
         if !is_local {
             let differs_since = *self.remote_differs_since.get_or_insert(now);
             if now < self.next_remote_exchange || now.since(differs_since) < REMOTE_EXCHANGE_DELAY {
@@ -134,7 +134,7 @@
         let mut peers = Vec::new();
         for host in new_hosts {
             let Some(known) = self.members.get(host) else { continue };
-            let is_local = known.record.is_in(&self.own.data_centre);
+            let is_local = known.record.is_in(&self.own_record.data_centre);
             let notices_left = &mut self.own_notices_left;
             let notices_left =
                 if is_local { &mut notices_left.local } else { &mut notices_left.remote };
@@ -152,8 +152,8 @@
         peers: Vec<SocketAddr>,
         out: &mut Vec<MembershipAction>,
     ) {
-        let own = self.own.clone();
-        self.send_notices(peers, std::slice::from_ref(&own), out);
+        let own_record = self.own_record.clone();
+        self.send_notices(peers, std::slice::from_ref(&own_record), out);
     }
 
     /// Sends updates to some daemons at once, without waiting for the next probe.
@@ -185,7 +185,7 @@
     pub(super) fn sample_fanout(&self, counts: PeerCounts, rng: &mut Pcg64Mcg) -> Vec<SocketAddr> {
         let all = PeerCounts { local: usize::MAX, remote: usize::MAX };
         let is_small = self.members.len() <= NOTIFY_ALL_MAX_PEERS;
-        self.sample_up(if is_small { all } else { counts }, &self.own.host, rng)
+        self.sample_up(if is_small { all } else { counts }, &self.own_record.host, rng)
     }
 
     /// Samples daemons that are up, except `excluded`.
@@ -198,7 +198,7 @@
         let members = self.members.values().map(|known| &known.record);
         let up = members.filter(|record| record.is_up() && record.host != *excluded);
         let (mut local, mut remote): (Vec<&MemberRecord>, Vec<&MemberRecord>) =
-            up.partition(|record| record.is_in(&self.own.data_centre));
+            up.partition(|record| record.is_in(&self.own_record.data_centre));
         let (local, _) = local.partial_shuffle(rng, counts.local);
         let (remote, _) = remote.partial_shuffle(rng, counts.remote);
         local.iter().chain(remote.iter()).map(|record| record.peer).collect()
@@ -229,11 +229,11 @@
         let reserved_bytes = self.evacuation.encoded_size() + suspects.len() * SUSPECT_UPDATE_BYTES;
         let (fleet_size, local_size) = (self.members.len() + 1, self.local_size());
         let budget = MessageBudget { fleet_size, local_size, reserved_bytes, is_remote };
-        let (own, members) = (&self.own, &self.members);
+        let (own_record, members) = (&self.own_record, &self.members);
         let lookup = |host: &HostName| {
             let other = members.get(host).map(|known| &known.record);
-            let record = if *host == own.host { Some(own) } else { other };
-            record.map(|record| (record, record.is_in(&own.data_centre)))
+            let record = if *host == own_record.host { Some(own_record) } else { other };
+            record.map(|record| (record, record.is_in(&own_record.data_centre)))
         };
         self.updates.fill(&mut updates, &budget, lookup);
         GossipMessage { suspects, ..self.compose_message(kind, number, updates) }
@@ -247,10 +247,10 @@
         updates: Vec<MemberRecord>,
     ) -> GossipMessage {
         GossipMessage {
-            from: self.own.host.clone(),
+            from: self.own_record.host.clone(),
             kind,
             number,
-            revision: self.own.revision,
+            revision: self.own_record.revision,
             digest: self.digest,
             evacuation: self.evacuation.clone(),
             blamed_hash: self.suspect_queue.blamed_hash(),
--- a/src/fleet/membership/locality.rs
+++ b/src/fleet/membership/locality.rs
@@ -11,7 +11,7 @@
     pub(crate) fn is_remote_peer(&self, peer: SocketAddr) -> bool {
         let mut others = self.members.values();
         let known = others.find(|known| known.record.peer == peer);
-        known.is_some_and(|known| !known.record.is_in(&self.own.data_centre))
+        known.is_some_and(|known| !known.record.is_in(&self.own_record.data_centre))
     }
 
     /// Returns the number of daemons of the own data centre that may serve, this one
@@ -23,11 +23,11 @@
     /// Returns whether a host is known to be in another data centre.
     pub(super) fn is_remote_host(&self, host: &HostName) -> bool {
         let known = self.members.get(host);
-        known.is_some_and(|known| !known.record.is_in(&self.own.data_centre))
+        known.is_some_and(|known| !known.record.is_in(&self.own_record.data_centre))
     }
 
     /// Returns whether a record is of a daemon in the own data centre that may serve.
     pub(super) fn is_local_and_up(&self, record: &MemberRecord) -> bool {
-        record.is_up() && record.is_in(&self.own.data_centre)
+        record.is_up() && record.is_in(&self.own_record.data_centre)
     }
 }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -70,7 +70,7 @@
 /// `(version, state)` never decreases.
 #[derive(Debug)]
 pub struct MembershipState {
-    own: MemberRecord,
+    own_record: MemberRecord,
     members: BTreeMap<HostName, KnownMember>,
     /// Number of members in the own data centre that may serve.
     local_others: usize,
@@ -104,11 +104,11 @@
 impl MembershipState {
     /// Creates the state of a daemon that knows only itself.
     #[must_use]
-    pub fn open(own: MemberRecord) -> Self {
+    pub fn open(own_record: MemberRecord) -> Self {
         let mut state = Self {
-            updates: UpdateQueue::open(&own.host),
-            digest: own.digest(),
-            own,
+            updates: UpdateQueue::open(&own_record.host),
+            digest: own_record.digest(),
+            own_record,
             members: BTreeMap::new(),
             local_others: 0,
             probe_order: ProbeOrder::default(),
@@ -126,7 +126,7 @@
             suspect_queue: SuspectQueue::default(),
             refutation_due: false,
         };
-        state.own.state = MemberState::Alive;
+        state.own_record.state = MemberState::Alive;
         state
     }
 
@@ -163,29 +163,29 @@
 
     /// Checks the invariants, in builds with debug assertions.
     fn assert_invariants(&self) {
-        let is_valid = matches!(self.own.state, MemberState::Alive | MemberState::Left);
-        debug_assert!(is_valid, "own record is neither alive nor left: {:?}", self.own.state);
-        debug_assert!(!self.members.contains_key(&self.own.host), "own host is among members");
+        let is_valid = matches!(self.own_record.state, MemberState::Alive | MemberState::Left);
+        debug_assert!(is_valid, "invalid state of own record: {:?}", self.own_record.state);
+        debug_assert!(!self.members.contains_key(&self.own_record.host), "own host in members");
         debug_assert!(self.members.len() >= self.local_others, "more local members than members");
     }
 
     /// Returns the own record.
     #[must_use]
-    pub const fn own(&self) -> &MemberRecord {
-        &self.own
+    pub const fn own_record(&self) -> &MemberRecord {
+        &self.own_record
     }
 
     /// Returns all known members, this daemon first.
     #[must_use]
     pub fn view(&self) -> FleetView {
         let others = self.members.values().map(|known| known.record.clone());
-        FleetView { members: std::iter::once(self.own.clone()).chain(others).collect() }
+        FleetView { members: std::iter::once(self.own_record.clone()).chain(others).collect() }
     }
 
     /// Returns whether this daemon is among the selected followers of the store.
     #[must_use]
     pub fn follows_store(&self) -> bool {
-        store_followers::follows_store(self.records(), &self.own.host)
+        store_followers::follows_store(self.records(), &self.own_record.host)
     }
 
     /// Returns whether any other daemon is believed to be up.
@@ -232,7 +232,7 @@
 
     fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         let others = self.members.values().map(|known| &known.record);
-        std::iter::once(&self.own).chain(others)
+        std::iter::once(&self.own_record).chain(others)
     }
 
     /// Applies records from the table or a full exchange.
@@ -249,7 +249,7 @@
         let mut new_hosts = Vec::new();
         for record in records {
             let host = record.host.clone();
-            let is_known = host == self.own.host || self.members.contains_key(&host);
+            let is_known = host == self.own_record.host || self.members.contains_key(&host);
             let is_up = record.is_up();
             self.apply(now, record, out);
             if !is_known {
@@ -265,24 +265,24 @@
 
     /// Applies a record: merges it, or refutes it if it is of the own host.
     fn apply(&mut self, now: MicroTime, record: MemberRecord, out: &mut Vec<MembershipAction>) {
-        if record.host == self.own.host {
+        if record.host == self.own_record.host {
             self.refute_record(&record, out);
         } else {
             self.merge(now, record, out);
         }
     }
 
-    /// Refutes a wrong record of the own host by raising the own version above it.
-    ///
-    /// Such a record comes from a daemon that suspects this one, or from an earlier incarnation.
+    /// Refutes a wrong record of the own host, from a daemon that suspects this one or from an
+    /// earlier incarnation, by raising the own version above it.
     fn refute_record(&mut self, record: &MemberRecord, out: &mut Vec<MembershipAction>) {
-        let is_wrong = record.incarnation != self.own.incarnation || record.state != self.own.state;
-        if !is_wrong || self.own.state == MemberState::Left {
+        let is_wrong = record.incarnation != self.own_record.incarnation
+            || record.state != self.own_record.state;
+        if !is_wrong || self.own_record.state == MemberState::Left {
             return;
         }
-        if record.version < self.own.version {
+        if record.version < self.own_record.version {
             // This was refuted before, but the refutation did not reach all daemons.
-            self.updates.enqueue(&self.own.host);
+            self.updates.enqueue(&self.own_record.host);
             return;
         }
         let version = record.version + 1;
@@ -298,10 +298,10 @@
         rng: &mut Pcg64Mcg,
         out: &mut Vec<MembershipAction>,
     ) {
-        if self.own.targets == targets {
+        if self.own_record.targets == targets {
             // Every message carries the revision, so the record needs no new version.
-            let is_newer = revision > self.own.revision;
-            self.own.revision = revision;
+            let is_newer = revision > self.own_record.revision;
+            self.own_record.revision = revision;
             if is_newer {
                 self.notify_of_header(rng, out);
             }
@@ -330,7 +330,7 @@
     }
 
     fn set_store_lost(&mut self, lost: bool, rng: &mut Pcg64Mcg, out: &mut Vec<MembershipAction>) {
-        if self.own.store_lost == lost {
+        if self.own_record.store_lost == lost {
             return;
         }
         self.update_own(|own| {
@@ -342,10 +342,10 @@
     }
 
     fn update_own(&mut self, change: impl FnOnce(&mut MemberRecord)) {
-        self.digest ^= self.own.digest();
-        change(&mut self.own);
-        self.digest ^= self.own.digest();
-        self.updates.enqueue(&self.own.host);
+        self.digest ^= self.own_record.digest();
+        change(&mut self.own_record);
+        self.digest ^= self.own_record.digest();
+        self.updates.enqueue(&self.own_record.host);
     }
 
     fn leave(&mut self, rng: &mut Pcg64Mcg, out: &mut Vec<MembershipAction>) {
@@ -392,8 +392,8 @@
     /// Returns the record of a host.
     #[must_use]
     pub fn member(&self, host: &HostName) -> Option<&MemberRecord> {
-        if *host == self.own.host {
-            return Some(&self.own);
+        if *host == self.own_record.host {
+            return Some(&self.own_record);
         }
         self.members.get(host).map(|known| &known.record)
     }
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -196,7 +196,7 @@
         rng: &mut Pcg64Mcg,
         out: &mut Vec<MembershipAction>,
     ) {
-        let centre = &self.own.data_centre;
+        let centre = &self.own_record.data_centre;
         let next = self.probe_order.next(now, self.period, centre, &self.members, rng);
         let Some(host) = next else { return };
         let Some(known) = self.members.get(&host) else { return };
@@ -226,7 +226,7 @@
         self.last_number += 1;
         let to = record.peer;
         // The first record tells the member that it was declared dead, so that it can refute it.
-        let updates = vec![record, self.own.clone()];
+        let updates = vec![record, self.own_record.clone()];
         let message = self.compose_message(GossipKind::Ping, self.last_number, updates);
         out.push(MembershipAction::Send { to, message });
     }
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -78,7 +78,7 @@
                 }
             }
         }
-        if revision > self.own.revision
+        if revision > self.own_record.revision
             && let Some(known) = self.members.get(&sender)
         {
             out.push(MembershipAction::FetchRevision { peer: known.record.peer });
@@ -94,7 +94,7 @@
     fn is_new_remote_record(&self, record: &MemberRecord) -> bool {
         let known = self.members.get(&record.host);
         let is_newer = known.is_none_or(|known| record.supersedes(&known.record));
-        is_newer && !record.is_in(&self.own.data_centre)
+        is_newer && !record.is_in(&self.own_record.data_centre)
     }
 
     /// Returns whether a sender's own record is older than the known record of an earlier
--- a/src/fleet/membership/suspect_requests.rs
+++ b/src/fleet/membership/suspect_requests.rs
@@ -135,7 +135,7 @@
         let peers = if first_hand {
             self.sample_fanout(CHANGE_FANOUT, rng)
         } else {
-            self.sample_up(URGENT_FANOUT, &self.own.host, rng)
+            self.sample_up(URGENT_FANOUT, &self.own_record.host, rng)
         };
         self.send_suspects(peers, &new_updates, out);
     }
--- a/src/fleet/membership/update_queue.rs
+++ b/src/fleet/membership/update_queue.rs
@@ -39,7 +39,7 @@
 /// The hosts whose records are still to be sent, with the number of times sent.
 #[derive(Debug)]
 pub(super) struct UpdateQueue {
-    own: HostName,
+    own_host: HostName,
     send_counts: HashMap<HostName, SendCount>,
 }
 
@@ -58,9 +58,9 @@
 
 impl UpdateQueue {
     /// Creates a queue with the own record, which no other daemon knows yet.
-    pub(super) fn open(own: &HostName) -> Self {
-        let send_counts = HashMap::from([(own.clone(), SendCount::default())]);
-        Self { own: own.clone(), send_counts }
+    pub(super) fn open(own_host: &HostName) -> Self {
+        let send_counts = HashMap::from([(own_host.clone(), SendCount::default())]);
+        Self { own_host: own_host.clone(), send_counts }
     }
 
     /// Returns the number of updates that are still to be sent in the own data centre, in a
@@ -86,7 +86,7 @@
     /// daemon may not have.
     pub(super) fn count_full_receipt(&mut self) {
         for (host, sent) in &mut self.send_counts {
-            if *host != self.own {
+            if *host != self.own_host {
                 sent.local += SENDS_PER_RECEIPT;
             }
         }
@@ -107,13 +107,13 @@
         lookup: impl Fn(&HostName) -> Option<(&'a MemberRecord, bool)>,
     ) {
         let limit = spread_limit(budget.fleet_size);
-        let own = self.own.clone();
+        let own_host = self.own_host.clone();
         let local_sends_left = |sent: &SendCount| sent.local < limit;
         let remote_sends_left = |host: &HostName, sent: &SendCount| {
             let record =
                 lookup(host).filter(|(record, is_local)| *is_local || is_unresponsive(record));
             record.is_some_and(|(record, _)| {
-                sent.remote < remote_send_limit(&own, record, budget.local_size)
+                sent.remote < remote_send_limit(&own_host, record, budget.local_size)
             })
         };
         self.send_counts.retain(|host, sent| {
@@ -168,10 +168,10 @@
 ///
 /// If the share is not a whole number, a hash of daemon and update decides whether it is
 /// rounded up, so that different daemons send different updates.
-fn remote_send_limit(own: &HostName, record: &MemberRecord, local_size: usize) -> u32 {
+fn remote_send_limit(own_host: &HostName, record: &MemberRecord, local_size: usize) -> u32 {
     let share = REMOTE_SENDS_PER_CENTRE / local_size.max(1) as f64;
     let mut hasher = blake3::Hasher::new();
-    for text in [own.as_str(), record.host.as_str()] {
+    for text in [own_host.as_str(), record.host.as_str()] {
         hasher.update(text.as_bytes());
     }
     hasher.update(&record.version.to_le_bytes());
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -92,7 +92,7 @@
 /// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct PeersParts {
-    pub(crate) own: MemberRecord,
+    pub(crate) own_record: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) socket: std::net::UdpSocket,
@@ -107,14 +107,14 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PeersParts { own, seed, seeds, socket, listener } = parts;
+    let PeersParts { own_record, seed, seeds, socket, listener } = parts;
     let (Ok(socket), Ok(listener)) = (UdpSocket::from_std(socket), TcpListener::from_std(listener))
     else {
         return;
     };
     let duty = Rc::new(PeersDuty {
         clock: ProcessClock::open(),
-        membership: RefCell::new(MembershipState::open(own)),
+        membership: RefCell::new(MembershipState::open(own_record)),
         active: RefCell::default(),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         socket,
@@ -151,7 +151,7 @@
                 if reached {
                     self.follower_role
                         .borrow_mut()
-                        .init_from_rows(&members, self.membership.borrow().own());
+                        .init_from_rows(&members, self.membership.borrow().own_record());
                 }
                 spawn_local(Rc::clone(self).join(members, reached));
             }
@@ -160,7 +160,7 @@
                 self.step(MembershipEvent::StoreLost(lost));
             }
             PeersEvent::Config(active) => {
-                let targets = self.membership.borrow().own().targets.clone();
+                let targets = self.membership.borrow().own_record().targets.clone();
                 let revision = active.head.revision;
                 *self.active.borrow_mut() = Some(active);
                 self.step(MembershipEvent::OwnChanged { targets, revision });
@@ -178,7 +178,7 @@
                 }
             }
             PeersEvent::LocalTargets(targets) => {
-                let revision = self.membership.borrow().own().revision;
+                let revision = self.membership.borrow().own_record().revision;
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Dump(reply) => drop(reply.send(self.dump())),
@@ -226,7 +226,7 @@
         }
         let membership = self.membership.borrow();
         let centres = membership.evacuation().centres.clone();
-        let own_evacuated = centres.contains(&membership.own().data_centre);
+        let own_evacuated = centres.contains(&membership.own_record().data_centre);
         info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres, "own" => own_evacuated);
         let entry = self.rings.entry.push(EntryEvent::Evacuated(centres)).is_ok();
         let guard = self.rings.guard.push(GuardEvent::Evacuated(own_evacuated)).is_ok();
--- a/src/fleet/peers/store_role.rs
+++ b/src/fleet/peers/store_role.rs
@@ -25,7 +25,7 @@
             return;
         }
         let retry_due = now.since(self.store_lost_changed_at.get()) >= STORE_RETRY_INTERVAL;
-        if retry_due && self.membership.borrow().own().store_lost {
+        if retry_due && self.membership.borrow().own_record().store_lost {
             self.step(MembershipEvent::StoreLost(false));
         }
         // An isolated daemon can't know which daemons follow the store, so it follows the
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -47,8 +47,8 @@
 
 impl FollowerRole {
     /// Initialises the role from the member rows that the store had when the daemon started.
-    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own: &MemberRecord) {
-        self.is_bootstrap_follower = follows_at_bootstrap(rows, own);
+    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own_record: &MemberRecord) {
+        self.is_bootstrap_follower = follows_at_bootstrap(rows, own_record);
     }
 
     /// Returns whether to follow the store.
@@ -76,14 +76,17 @@
 
 /// Returns whether a daemon follows the store before it knows the fleet: if the store has
 /// too few member rows, or has the daemon's own.
-fn follows_at_bootstrap(rows: &[MemberRecord], own: &MemberRecord) -> bool {
-    let is_own = |row: &MemberRecord| row.host == own.host && row.peer == own.peer;
+fn follows_at_bootstrap(rows: &[MemberRecord], own_record: &MemberRecord) -> bool {
+    let is_own = |row: &MemberRecord| row.host == own_record.host && row.peer == own_record.peer;
     rows.len() < MAX_STORE_FOLLOWERS || rows.iter().any(is_own)
 }
 
-/// Returns whether the daemon of host `own` is one of those that follow the store.
+/// Returns whether the daemon of `own_host` is one of those that follow the store.
 #[must_use]
-pub fn follows_store<'a>(members: impl Iterator<Item = &'a MemberRecord>, own: &HostName) -> bool {
+pub fn follows_store<'a>(
+    members: impl Iterator<Item = &'a MemberRecord>,
+    own_host: &HostName,
+) -> bool {
     let alive: Vec<&MemberRecord> = members.filter(|member| is_alive(member)).collect();
     let mut candidates = alive.clone();
     candidates.retain(|member| !member.store_lost);
@@ -91,7 +94,7 @@
         // No daemon reaches the store: the first ones in the order retry it.
         candidates = alive;
     }
-    let Some(own_member) = candidates.iter().find(|member| member.host == *own) else {
+    let Some(own_member) = candidates.iter().find(|member| member.host == *own_host) else {
         return false;
     };
     let own_hash = selection_hash(&own_member.host);
--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -113,7 +113,8 @@
 
     /// Starts a node that knows those before it, as the table would tell.
     pub fn start(&mut self, index: usize, incarnation: u64) {
-        let known: Vec<MemberRecord> = self.nodes.values().map(|node| node.own().clone()).collect();
+        let known: Vec<MemberRecord> =
+            self.nodes.values().map(|node| node.own_record().clone()).collect();
         self.nodes.insert(address(index), MembershipState::open(record(index, incarnation)));
         self.seen.remove(&address(index));
         self.step(address(index), MembershipEvent::RecordsReceived(known));
@@ -152,7 +153,7 @@
         let (Some(node), Some(other)) = (self.nodes.get(&at), self.nodes.get(&peer)) else {
             return;
         };
-        let (targets, revision) = (node.own().targets.clone(), other.own().revision);
+        let (targets, revision) = (node.own_record().targets.clone(), other.own_record().revision);
         if self.separated(at, peer) || self.fetching.get(&at) == Some(&revision) {
             return;
         }
@@ -229,7 +230,7 @@
     /// Checks what must hold at every moment.
     fn check(&mut self) -> Result<(), TestCaseError> {
         for (at, node) in &self.nodes {
-            prop_assert!(node.own().state != MemberState::Dead);
+            prop_assert!(node.own_record().state != MemberState::Dead);
             let seen = self.seen.entry(*at).or_default();
             for member in node.view().members {
                 let newest = (member.version, member.state);
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -99,7 +99,7 @@
         let rows: Vec<MemberRecord> = (0..self.size)
             .filter_map(|other| self.network.nodes.get(&address(other)))
             .take(ROWS)
-            .map(|node| node.own().clone())
+            .map(|node| node.own_record().clone())
             .collect();
         let own = own_record(index).data_centre;
         let is_near = |row: &&MemberRecord| row.data_centre == own;
@@ -150,7 +150,7 @@
             let targets = advertised(index, true);
             self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
         }
-        let in_force = |node: &MembershipState| node.own().revision == revision;
+        let in_force = |node: &MembershipState| node.own_record().revision == revision;
         let known_ms = self.until(from, |fleet| fleet.network.nodes.values().all(in_force));
         EventCost { known_ms, crossing: self.network.crossing - crossing }
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -98,7 +98,7 @@
         &mut rng,
         &mut out,
     );
-    assert_eq!(state.own().version, 5);
+    assert_eq!(state.own_record().version, 5);
     let ping = |number| MembershipEvent::Message {
         from: address(1),
         message: railspan::GossipMessage {
@@ -122,5 +122,5 @@
     out.clear();
     state.step(MicroTime(0), ping(99), &mut rng, &mut out);
     let MembershipAction::Send { message, .. } = &out[0] else { panic!("{out:?}") };
-    assert_eq!(message.updates, [state.own().clone()]);
+    assert_eq!(message.updates, [state.own_record().clone()]);
 }
--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -106,7 +106,7 @@
         for (at, node) in &network.nodes {
             let entry = entries.entry(*at).or_default();
             let none = std::collections::BTreeSet::new();
-            entry.registry.update(now, &node.view(), &node.own().data_centre, &none);
+            entry.registry.update(now, &node.view(), &node.own_record().data_centre, &none);
             if !heeds_doubt {
                 let targets = entry.registry.services.values_mut();
                 targets
