--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -78,7 +78,7 @@
         (self.version, self.state) > (other.version, other.state)
     }
 
-    /// Returns whether the daemon may be serving.
+    /// Returns whether the daemon is up as far as known: alive or only suspected.
     #[must_use]
     pub fn is_up(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
@@ -167,7 +167,7 @@
 }
 
 impl FleetView {
-    /// Returns the members that may be serving.
+    /// Returns the members that are up as far as known, and so may be serving.
     pub fn serving(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().filter(|member| member.is_up())
     }
--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -168,7 +168,7 @@
             if status.is_none() {
                 // Neither the call nor the revocation was answered; the connection may
                 // be dead while the guard is not.
-                duty.pool.forget(location.guard, location.incarnation);
+                duty.pool.remove(location.guard, location.incarnation);
                 duty.report_unreachable(&location.host);
                 info!(duty.logger, "guard not responding"; "id" => &*call.id, "at" => %location.host);
             }
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -65,11 +65,11 @@
     /// Budgets of the attempts that this daemon may add to the calls of each service.
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     retry_share: Cell<RetryShare>,
-    /// Maximum number of serving daemons in any fleet view so far.
+    /// Maximum number of daemons that were up in any fleet view so far.
     max_fleet_size: Cell<usize>,
     /// Granted quota of client accounts.
     quotas: EntryQuotas,
-    /// Selects which of an account's quota holders this entry asks first.
+    /// Number that selects which of an account's quota holders this entry asks first.
     holder_offset: usize,
     /// Requests that are suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashSuspects>,
@@ -89,7 +89,7 @@
     /// Whether callers are asked to use another daemon.
     withdrawn: Cell<bool>,
     active: RefCell<Option<ActiveRevision>>,
-    /// Oldest revision that calls may be served by; `None` until the peers were asked.
+    /// Oldest revision that calls may be served with; `None` until the daemon has joined.
     least_revision: RefCell<Option<u64>>,
     /// Number of open connections from callers.
     caller_connections: watch::Sender<usize>,
@@ -234,7 +234,7 @@
     }
 
     /// Returns the configuration, or `None` while there is none that calls may be served
-    /// by.
+    /// with.
     pub(crate) fn config(&self) -> Option<Arc<FleetConfig>> {
         let active = self.active.borrow();
         let active = active.as_ref()?;
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -87,21 +87,20 @@
         Some(HeadReader::open(response.await.ok()?.into_body()))
     }
 
-    /// Drops the connection to a guard that does not respond on it.
-    pub(crate) fn forget(&self, guard: SocketAddr, incarnation: DaemonIncarnation) {
+    /// Removes the connection to a guard that does not respond on it.
+    pub(crate) fn remove(&self, guard: SocketAddr, incarnation: DaemonIncarnation) {
         self.connections.borrow_mut().remove(&(guard, incarnation));
     }
 
-    /// Drops the connections to guards that are gone and records which guards are in other
-    /// data centres; returns the number of serving guards.
+    /// Removes the connections to guards that are gone and records which guards are in other
+    /// data centres; returns the number of guards that are up.
     pub(crate) fn update(&self, view: &FleetView, centre: &CentreName) -> usize {
         let serving = || view.serving();
-        let alive: HashSet<_> =
-            serving().map(|member| (member.guard, member.incarnation)).collect();
+        let up: HashSet<_> = serving().map(|member| (member.guard, member.incarnation)).collect();
         let remote = serving().filter(|member| member.data_centre != *centre);
         *self.remote_guards.borrow_mut() = remote.map(|member| member.guard).collect();
-        self.connections.borrow_mut().retain(|key, _| alive.contains(key));
-        alive.len()
+        self.connections.borrow_mut().retain(|key, _| up.contains(key));
+        up.len()
     }
 
     /// Returns the number of connections.
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -87,12 +87,13 @@
         id: &str,
     ) -> Result<(), Response<ResponseBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
-        let want = match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
-            QuotaDecision::Admit => return Ok(()),
-            QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
-            QuotaDecision::AskHolder(want) => want,
-        };
-        match self.ask_holders(&account.name, quota, want).await {
+        let requested =
+            match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
+                QuotaDecision::Admit => return Ok(()),
+                QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
+                QuotaDecision::AskHolder(requested) => requested,
+            };
+        match self.request_grant(&account.name, quota, requested).await {
             QuotaResult::Granted => Ok(()),
             QuotaResult::Exhausted(wait_ms) => {
                 self.with_credit(&account.name, |credit| {
@@ -126,16 +127,16 @@
     }
 
     /// Asks the holders one after the other until one grants at least one request.
-    async fn ask_holders(
+    async fn request_grant(
         &self,
         account: &AccountName,
         quota: AccountQuota,
-        want: u16,
+        requested: u16,
     ) -> QuotaResult {
         let mut result = QuotaResult::Unreachable;
         for (host, address) in self.holders(account, quota) {
             let requested_at = self.clock.now();
-            let Some(reply) = self.ask_holder(address, account, want).await else {
+            let Some(reply) = self.request_grant_from(address, account, requested).await else {
                 self.quotas.unresponsive.borrow_mut().insert(host, self.clock.now());
                 continue;
             };
@@ -182,18 +183,18 @@
         holders
     }
 
-    /// Requests a grant of `want` requests from a holder; returns `None` if it doesn't reply in
-    /// time.
-    async fn ask_holder(
+    /// Requests a grant of `requested` requests from a holder; returns `None` if it doesn't reply
+    /// in time.
+    async fn request_grant_from(
         &self,
         address: SocketAddr,
         account: &AccountName,
-        want: u16,
+        requested: u16,
     ) -> Option<QuotaReply> {
         let number = self.quotas.next_number.get();
         self.quotas.next_number.set(number + 1);
         let settled = self.clock.now() >= self.quotas.terms.get().window + GRANT_LIFETIME;
-        let request = QuotaRequest { number, account: account.clone(), want, settled };
+        let request = QuotaRequest { number, account: account.clone(), want: requested, settled };
         let bytes = wire::encode(&GuardDatagram::Quota(request)).ok()?;
         let (sender, receiver) = oneshot::channel();
         self.quotas.pending.borrow_mut().insert(number, sender);
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -85,7 +85,7 @@
             CallInProgress { duty: &self, id: &id, arrived_at, answered: Cell::new(false) };
         let mut response = match intake::receive(&self, request, &id).await {
             Ok(call) => self.route(call).await,
-            Err(refusal) => refusal,
+            Err(response) => response,
         };
         let outcome = response.headers().get(headers::OUTCOME);
         let outcome = outcome.and_then(|value| value.to_str().ok()).unwrap_or("none");
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -1,4 +1,4 @@
-//! Rejection of requests that crash targets.
+//! Crash records at the entry, and the rejection of blamed requests.
 
 use http::{Response, StatusCode};
 use slog::warn;
--- a/src/call/guard/call_admission.rs
+++ b/src/call/guard/call_admission.rs
@@ -206,7 +206,7 @@
             fingerprint: claim.fingerprint.clone(),
             state: ClaimState::Started,
         };
-        let (reply, answer) = oneshot::channel();
+        let (reply, claim_reply) = oneshot::channel();
         let request = ClaimRequest {
             key: claim.row.clone(),
             row: row.clone(),
@@ -216,9 +216,9 @@
         let unavailable = || self.refusal(call, RefusalReason::PlatformDown, PLATFORM_RETRY_MS);
         self.rings.platform.push(PlatformEvent::Claim(request)).map_err(|_full| unavailable())?;
         let remaining = call.deadline.since(self.clock.now()).duration();
-        let answer = timeout(CLAIM_TIMEOUT.min(remaining), answer).await;
+        let claim_reply = timeout(CLAIM_TIMEOUT.min(remaining), claim_reply).await;
         drop(permit);
-        match answer {
+        match claim_reply {
             Ok(Ok(ClaimReply::Acquired(version))) => {
                 Ok(HeldClaim { key: claim.row.clone(), version, row })
             }
--- a/src/call/guard/datagrams.rs
+++ b/src/call/guard/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams from entries: load probes of a target, and requests for grants of a quota.
+//! Datagrams from entries: load probes of a target, and requests for grants from a quota.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
                     self.probe_load(request).map(GuardReply::Probe)
                 }
                 Ok(GuardDatagram::Quota(request)) => {
-                    Some(GuardReply::Quota(self.quotas.answer(self.clock.now(), &request)))
+                    Some(GuardReply::Quota(self.quotas.handle_request(self.clock.now(), &request)))
                 }
                 Err(_malformed) => None,
             };
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -1,9 +1,9 @@
 //! Health checks of a guard's own target, which return its identity and its current
 //! slowness.
 //!
-//! Answers to calls carry the same report, but arrive late from a target that has just
+//! Answers to calls carry the same information, but arrive late from a target that has just
 //! become slow, whereas a health check is answered at once. It is cheap but not free, so it is
-//! sent only if no report came for a while and the target is in use.
+//! sent only if the known slowness is out of date and the target is in use.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/src/call/guard/load_reports.rs
+++ b/src/call/guard/load_reports.rs
@@ -23,15 +23,16 @@
 /// Length of one report on its stream, including its frame, in bytes.
 const REPORT_BYTES: u64 = 50;
 
-/// Reports that one guard sends within its data centre, in bytes per second. Together
-/// with [`REMOTE_BYTES_PER_S`] this is half of the budget for all control traffic.
+/// Maximum rate of the reports that one guard sends within its data centre, in bytes per
+/// second. Together with [`REMOTE_BYTES_PER_S`] it is half of the budget for all control traffic.
 const LOCAL_BYTES_PER_S: u32 = 8_000;
 
-/// Reports that one guard sends to other data centres, in bytes per second.
+/// Maximum rate of the reports that one guard sends to other data centres, in bytes per second.
 const REMOTE_BYTES_PER_S: u32 = 2_000;
 
-/// Reports that an entry in another data centre gets for one call: it stays informed
-/// while it keeps calling, and the traffic doesn't grow with entries that have stopped.
+/// Maximum number of reports on one stream to an entry in another data centre. The entry opens
+/// a new stream with its next call, so it stays informed while it keeps calling, and the traffic
+/// doesn't grow with entries that have stopped.
 const MAX_REMOTE_REPORTS: u32 = 8;
 
 /// Change in slowness above which a report is sent, in percent of the published slowness.
--- a/src/call/guard/local_target.rs
+++ b/src/call/guard/local_target.rs
@@ -120,7 +120,7 @@
         !self.queue.is_closed()
     }
 
-    /// Returns the inputs of the guard's decisions about the target, as JSON.
+    /// Returns the target's state, on which the guard's decisions are based, as JSON.
     pub(crate) fn dump(&self, now: MicroTime) -> Value {
         json!({
             "announcement": self.announcement,
--- a/src/call/guard/quota.rs
+++ b/src/call/guard/quota.rs
@@ -24,8 +24,8 @@
 }
 
 impl GuardQuotas {
-    /// Answers an entry's request for a grant of an account's quota.
-    pub(super) fn answer(&self, now: MicroTime, request: &QuotaRequest) -> QuotaReply {
+    /// Handles an entry's request for a grant from an account's quota; returns the reply.
+    pub(super) fn handle_request(&self, now: MicroTime, request: &QuotaRequest) -> QuotaReply {
         let QuotaRequest { account, want, settled, .. } = request;
         let grant = self.holder.borrow_mut().grant(now, account, *want, *settled);
         QuotaReply {
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Announcements, drains and ends of a guard's targets.
+//! Announcements, drains and ends of a guard's targets, and the leases that follow from them.
 //!
 //! Invariants: a target's queue is open only while its lease is ready; every change of
 //! readiness is published to the peers.
@@ -172,7 +172,7 @@
         self.apply_leases();
     }
 
-    /// Starts or ends an operator's drain; returns whether the target is known.
+    /// Starts or ends the drain of a target by an operator; returns whether the target is known.
     pub(crate) fn drain(&self, name: &TargetName, drained: bool) -> bool {
         let mut found = false;
         for target in self.targets.borrow_mut().values_mut() {
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -11,7 +11,7 @@
 /// Half-life of the remembered size of the fleet, in seconds.
 const SIZE_HALF_LIFE_S: f64 = 60.0;
 
-/// Tracks whether at least half of the fleet is alive in the view of a daemon.
+/// Tracks whether at least half of the fleet is up in the view of a daemon.
 ///
 /// A holder that is partitioned from the rest must not grant requests that its replacement
 /// grants as well.
@@ -19,25 +19,24 @@
 struct FleetQuorum {
     /// Remembered size of the fleet: the maximum number of daemons seen, with decay.
     size: f64,
-    /// Number of daemons believed to be alive.
-    #[serde(rename = "up")]
-    alive: usize,
+    /// Number of daemons believed to be up.
+    up: usize,
     #[serde(rename = "updated")]
     updated_at: MicroTime,
 }
 
 impl FleetQuorum {
-    /// Records the number of daemons believed to be alive.
-    fn update(&mut self, now: MicroTime, alive: usize) {
+    /// Records the number of daemons believed to be up.
+    fn update(&mut self, now: MicroTime, up: usize) {
         let elapsed = now.since(self.updated_at).duration().as_secs_f64();
         self.updated_at = self.updated_at.max(now);
-        self.size = (self.size * (-elapsed / SIZE_HALF_LIFE_S).exp2()).max(alive as f64);
-        self.alive = alive;
+        self.size = (self.size * (-elapsed / SIZE_HALF_LIFE_S).exp2()).max(up as f64);
+        self.up = up;
     }
 
-    /// Returns whether at least half of the fleet is alive.
+    /// Returns whether at least half of the fleet is up.
     fn holds(&self) -> bool {
-        self.alive > 0 && self.alive as f64 * 2.0 >= self.size
+        self.up > 0 && self.up as f64 * 2.0 >= self.size
     }
 }
 
@@ -65,22 +64,22 @@
 impl QuotaHolder {
     /// Determines which quotas are held here, given the current fleet and configuration.
     ///
-    /// `alive` are the hosts believed to be alive, including `own`.
+    /// `up` are the hosts whose daemons are believed to be up, including `own_host`.
     pub fn update<'a>(
         &mut self,
         now: MicroTime,
-        own: &HostName,
-        alive: &[&HostName],
+        own_host: &HostName,
+        up: &[&HostName],
         quotas: impl Iterator<Item = (&'a AccountName, AccountQuota)>,
         terms: QuotaTerms,
     ) -> Vec<HolderChange> {
-        self.quorum.update(now, alive.len());
+        self.quorum.update(now, up.len());
         let mut before = std::mem::take(&mut self.windows);
         let mut changes = Vec::new();
         let quotas = quotas.filter(|_| self.quorum.holds());
         for (account, quota) in quotas {
-            let holders = choose_holders(account, alive.iter().copied(), quota.holders(terms));
-            if !holders.contains(&own) {
+            let holders = choose_holders(account, up.iter().copied(), quota.holders(terms));
+            if !holders.contains(&own_host) {
                 continue;
             }
             let window = before.remove(account);
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -10,8 +10,8 @@
 /// Maximum retry time returned to a refused caller.
 const MAX_WAIT: MicroTime = MicroTime::from_millis(2_000);
 
-/// Number of slots into which a window is divided.
-const SLOTS: u64 = 50;
+/// Number of buckets into which a window is divided.
+const BUCKETS: u64 = 50;
 
 /// Reply of a holder to an entry that asks for a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,10 +34,11 @@
     limit: f64,
     /// Length of the window.
     span: MicroTime,
-    /// Time at which each slot leaves the window and the requests granted in it, oldest
+    /// Time at which each bucket leaves the window and the requests granted in it, oldest
     /// first.
-    slots: VecDeque<(MicroTime, f64)>,
-    /// Sum of the requests in `slots`.
+    #[serde(rename = "slots")]
+    buckets: VecDeque<(MicroTime, f64)>,
+    /// Sum of the requests in `buckets`.
     granted: f64,
     #[serde(rename = "opened")]
     opened_at: MicroTime,
@@ -54,12 +55,13 @@
     #[must_use]
     pub fn open(now: MicroTime, quota: AccountQuota, terms: QuotaTerms) -> Self {
         let limit = quota.per_window(terms) / quota.holders(terms) as f64;
-        let slot_length = terms.window.0 / SLOTS;
-        let slot = |number: u64| (now + MicroTime(slot_length * number), limit / SLOTS as f64);
+        let bucket_length = terms.window.0 / BUCKETS;
+        let bucket =
+            |number: u64| (now + MicroTime(bucket_length * number), limit / BUCKETS as f64);
         Self {
             limit,
             span: terms.window,
-            slots: (1..=SLOTS).map(slot).collect(),
+            buckets: (1..=BUCKETS).map(bucket).collect(),
             granted: limit,
             opened_at: now,
             only_new_entries: true,
@@ -103,37 +105,37 @@
             return;
         }
         let last = self.opened_at + self.span + GRANT_LIFETIME;
-        for (leaves, _) in &mut self.slots {
+        for (leaves, _) in &mut self.buckets {
             *leaves = (*leaves).max(last);
         }
     }
 
     fn record(&mut self, now: MicroTime, granted: f64) {
         self.granted += granted;
-        // A slot leaves the window together with the last request that may use its grants.
+        // A bucket leaves the window together with the last request that may use its grants.
         let earliest = now + self.span + GRANT_LIFETIME;
-        match self.slots.back_mut() {
+        match self.buckets.back_mut() {
             Some((leaves, count)) if *leaves >= earliest => *count += granted,
             _ => {
-                let leaves = earliest + MicroTime(self.span.0 / SLOTS);
-                self.slots.push_back((leaves, granted));
+                let leaves = earliest + MicroTime(self.span.0 / BUCKETS);
+                self.buckets.push_back((leaves, granted));
             }
         }
     }
 
-    /// Returns when the next slot leaves the window.
+    /// Returns when the next bucket leaves the window.
     fn next_expiry(&self, now: MicroTime) -> MicroTime {
-        self.slots.front().map_or(now, |(leaves, _)| *leaves)
+        self.buckets.front().map_or(now, |(leaves, _)| *leaves)
     }
 
-    /// Drops the slots that have left the window.
+    /// Drops the buckets that have left the window.
     fn drop_expired(&mut self, now: MicroTime) {
-        while let Some((leaves, count)) = self.slots.front().copied() {
+        while let Some((leaves, count)) = self.buckets.front().copied() {
             if leaves > now {
                 return;
             }
             self.granted = (self.granted - count).max(0.0);
-            self.slots.pop_front();
+            self.buckets.pop_front();
         }
         self.granted = 0.0;
     }
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -34,8 +34,8 @@
     Evacuated(BTreeSet<CentreName>),
     /// A configuration revision came into force.
     Config(ActiveRevision),
-    /// The daemon has synchronised with its peers: it may serve calls once this revision
-    /// or a later one is in force.
+    /// The daemon has joined the fleet: it may serve calls once this revision or a later one is
+    /// in force.
     Joined { least_revision: u64 },
     /// The crash records of requests changed.
     Suspects(Vec<SuspectUpdate>),
--- a/src/fleet/membership/locality.rs
+++ b/src/fleet/membership/locality.rs
@@ -14,8 +14,7 @@
         known.is_some_and(|known| !known.record.is_in(&self.own_record.data_centre))
     }
 
-    /// Returns the number of daemons of the own data centre that may serve, this one
-    /// included.
+    /// Returns the number of daemons of the own data centre that are up, this one included.
     pub(super) fn local_size(&self) -> usize {
         self.local_others + 1
     }
@@ -26,7 +25,7 @@
         known.is_some_and(|known| !known.record.is_in(&self.own_record.data_centre))
     }
 
-    /// Returns whether a record is of a daemon in the own data centre that may serve.
+    /// Returns whether a record is of a daemon in the own data centre that is up.
     pub(super) fn is_local_and_up(&self, record: &MemberRecord) -> bool {
         record.is_up() && record.is_in(&self.own_record.data_centre)
     }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -72,7 +72,7 @@
 pub struct MembershipState {
     own_record: MemberRecord,
     members: BTreeMap<HostName, KnownMember>,
-    /// Number of members in the own data centre that may serve.
+    /// Number of other daemons in the own data centre that are up.
     local_others: usize,
     updates: UpdateQueue,
     probe_order: ProbeOrder,
--- a/src/fleet/membership/update_queue.rs
+++ b/src/fleet/membership/update_queue.rs
@@ -48,7 +48,7 @@
 pub(super) struct MessageBudget {
     /// Number of daemons in the fleet.
     pub(super) fleet_size: usize,
-    /// Number of daemons in the own data centre that may serve, this one included.
+    /// Number of daemons in the own data centre that are up, this one included.
     pub(super) local_size: usize,
     /// Bytes of the datagram that other fields take.
     pub(super) reserved_bytes: usize,
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -51,7 +51,7 @@
         self.is_bootstrap_follower = follows_at_bootstrap(rows, own_record);
     }
 
-    /// Returns whether to follow the store.
+    /// Returns whether this daemon follows the store from now on.
     ///
     /// `size` is the number of known daemons, this one included. `is_selected` computes
     /// whether this daemon is among the selected followers; it is `None` if the members have
