--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -144,7 +144,7 @@
             if reply.granted > 0 {
                 // One granted request is the current one, the rest are for later ones.
                 self.with_credit(account, |credit| {
-                    credit.add_grant(requested_at, reply.granted - 1)
+                    credit.add_grant(requested_at, reply.granted - 1);
                 });
                 return QuotaResult::Granted;
             }
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -80,7 +80,8 @@
 #[derive(Debug)]
 pub(crate) struct PlatformParts {
     pub(crate) client: PlatformClient,
-    pub(crate) own_record: MemberRecord,
+    /// Member record of this daemon.
+    pub(crate) own: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) source: ConfigSource,
     /// Whether the whole fleet starts for the first time, so that many daemons read the rows
@@ -96,7 +97,7 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PlatformParts { client, own_record, seed, source, first_start } = parts;
+    let PlatformParts { client, own, seed, source, first_start } = parts;
     let duty = Rc::new(PlatformDuty {
         client,
         revisions: RefCell::default(),
@@ -114,8 +115,8 @@
         rings,
         logger,
     });
-    spawn_local(Rc::clone(&duty).bootstrap(own_record.clone(), first_start));
-    spawn_local(Rc::clone(&duty).maintain_member_row(own_record.clone()));
+    spawn_local(Rc::clone(&duty).bootstrap(own.clone(), first_start));
+    spawn_local(Rc::clone(&duty).maintain_member_row(own.clone()));
     match source {
         ConfigSource::Published => spawn_local(Rc::clone(&duty).poll_heads()),
         ConfigSource::Operator => spawn_local(Rc::clone(&duty).watch_operator_config()),
@@ -131,7 +132,7 @@
             PlatformEvent::FleetSize(size) => *duty.fleet_size.borrow_mut() = size,
             PlatformEvent::Dump(reply) => drop(reply.send(duty.dump())),
             PlatformEvent::Leave(done) => {
-                spawn_local(Rc::clone(&duty).remove_member_row(own_record.clone(), done));
+                spawn_local(Rc::clone(&duty).remove_member_row(own.clone(), done));
             }
         }
     }
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -92,7 +92,8 @@
 /// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct PeersParts {
-    pub(crate) own_record: MemberRecord,
+    /// Member record of this daemon.
+    pub(crate) own: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) socket: std::net::UdpSocket,
@@ -107,14 +108,14 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PeersParts { own_record, seed, seeds, socket, listener } = parts;
+    let PeersParts { own, seed, seeds, socket, listener } = parts;
     let (Ok(socket), Ok(listener)) = (UdpSocket::from_std(socket), TcpListener::from_std(listener))
     else {
         return;
     };
     let duty = Rc::new(PeersDuty {
         clock: ProcessClock::open(),
-        membership: RefCell::new(MembershipState::open(own_record)),
+        membership: RefCell::new(MembershipState::open(own)),
         active: RefCell::default(),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         socket,
@@ -329,17 +330,17 @@
             // If no peer provides a revision in time, the platform duty reads it.
             self.finish_join(0, 0);
         }
-        let mut fetched = 0;
+        let mut peers_read = 0;
         let mut newest = 0;
         let fetches =
             peers.into_iter().map(|peer| Rc::clone(&self).fetch_records_and_revision(peer));
         let mut revisions = futures::stream::iter(fetches).buffer_unordered(JOIN_PEERS);
         while let Some(revision) = revisions.next().await {
             let Some(revision) = revision else { continue };
-            fetched += 1;
+            peers_read += 1;
             newest = newest.max(revision);
-            self.finish_join(fetched, newest);
-            if fetched >= peers_needed {
+            self.finish_join(peers_read, newest);
+            if peers_read >= peers_needed {
                 break;
             }
         }
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -122,8 +122,8 @@
     let listeners = listen::bind_all(settings)?;
     let addresses = listen::bound_addresses(settings, &listeners)?;
     let DaemonListeners { caller, admin, guard, peer, probe, platform } = listeners;
-    let own_record = initial_record(settings, &addresses);
-    let incarnation = own_record.incarnation;
+    let own = initial_record(settings, &addresses);
+    let incarnation = own.incarnation;
     let rings = open_rings();
     let readiness = DaemonReadiness::default();
     let mut duties: Vec<(&str, DutyFactory)> = Vec::new();
@@ -169,7 +169,7 @@
     duties.push(("guard", duty_factory(move || guard::run(parts, inbox, out, counters, log))));
 
     let parts = PeersParts {
-        own_record: own_record.clone(),
+        own: own.clone(),
         seed: seed.wrapping_add(1),
         seeds: settings.seeds.clone(),
         socket: peer.1,
@@ -181,8 +181,7 @@
 
     let source = if platform.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
-    let parts =
-        PlatformParts { client, own_record, seed: seed.wrapping_add(2), source, first_start };
+    let parts = PlatformParts { client, own, seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
     duties.push(("platform", duty_factory(move || durable::run(parts, inbox, out, counters, log))));
