--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -170,7 +170,8 @@
                 // be dead while the guard is not.
                 duty.pool.remove(location.guard, location.incarnation);
                 duty.report_unreachable(&location.host);
-                info!(duty.logger, "guard not responding"; "id" => &*call.id, "at" => %location.host);
+                info!(duty.logger, "guard not responding"; "id" => &*call.request_id,
+                    "at" => %location.host);
             }
             let Ok(answer) = timeout_at(deadline, &mut answer_future).await else {
                 outstanding.failed = status.is_none();
@@ -325,8 +326,8 @@
         }
         AnswerHead::Refused { reason, retry_after_ms, load, .. } => {
             outstanding.update_load(*load);
-            let gone = matches!(reason, RefusalReason::Unreachable | RefusalReason::Absent);
-            outstanding.failed = gone || *reason == RefusalReason::Leaving;
+            let unavailable = matches!(reason, RefusalReason::Unreachable | RefusalReason::Absent);
+            outstanding.failed = unavailable || *reason == RefusalReason::Leaving;
             AttemptEnd::Refused { reason: *reason, retry_after_ms: *retry_after_ms }
         }
         AnswerHead::Lost { load, .. } => {
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -155,7 +155,7 @@
     let second = duty.choose(call, tried)?;
     tried.push(second.name.clone());
     duty.metrics.retries.with_label_values(&["hedge"]).inc();
-    info!(duty.logger, "hedged"; "id" => &*call.id, "target" => %second.name);
+    info!(duty.logger, "hedged"; "id" => &*call.request_id, "target" => %second.name);
     Some(second)
 }
 
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerCall {
     /// Request id that the caller set, or empty.
-    pub(crate) id: Arc<str>,
+    pub(crate) request_id: Arc<str>,
     /// Digest of the request; the same whenever and wherever the request is sent again.
     pub(crate) digest: RequestDigest,
     pub(crate) service: ServiceName,
@@ -72,17 +72,17 @@
 pub(crate) async fn receive(
     duty: &EntryDuty,
     request: Request<Incoming>,
-    id: &Arc<str>,
+    request_id: &Arc<str>,
 ) -> Result<CallerCall, Response<ResponseBody>> {
     let arrived_at = duty.clock.now();
     let (parts, body) = request.into_parts();
     let config = duty.config().ok_or_else(|| {
         responses::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
     })?;
-    if duty.names.railspan_headers {
+    if duty.header_names.railspan_headers {
         receive_account_call(duty, &config, arrived_at, &parts, body).await
     } else {
-        receive_routed_call(duty, &config, arrived_at, &parts, body, id).await
+        receive_routed_call(duty, &config, arrived_at, &parts, body, request_id).await
     }
 }
 
@@ -93,9 +93,9 @@
     arrived_at: MicroTime,
     parts: &Parts,
     body: Incoming,
-    id: &Arc<str>,
+    request_id: &Arc<str>,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let names = duty.names;
+    let names = duty.header_names;
     let host = headers::get_str(&parts.headers, "host");
     let host = host.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str));
     let route = config.route(host.unwrap_or_default(), parts.uri.path());
@@ -121,12 +121,12 @@
     let service = route.choose_service(&mut duty.rng.borrow_mut()).clone();
     let body = read_body(body, &parts.headers, limit as usize).await?;
     if let Some(account) = account {
-        duty.admit(account, id).await?;
+        duty.admit(account, request_id).await?;
     }
     let account_name = account.map_or(NO_ACCOUNT, |account| account.name.as_str());
     let host = host.unwrap_or_default().to_ascii_lowercase();
     Ok(CallerCall {
-        id: Arc::clone(id),
+        request_id: Arc::clone(request_id),
         digest: digest_request(
             account_name,
             &host,
@@ -171,7 +171,7 @@
     duty.admit(account, "").await?;
     let (account_name, service_name) = (account.name.as_str(), service.name.as_str());
     let mut call = CallerCall {
-        id: Arc::from(""),
+        request_id: Arc::from(""),
         digest: digest_request(account_name, service_name, parts.method.as_str(), &path, &body),
         service: service.name.clone(),
         account: account.name.clone(),
@@ -180,7 +180,7 @@
         options,
         method: parts.method.to_string(),
         path,
-        headers: headers::forward_request_headers(&parts.headers, duty.names),
+        headers: headers::forward_request_headers(&parts.headers, duty.header_names),
         body,
         arrived_at,
         deadline,
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -73,7 +73,7 @@
     holder_offset: usize,
     /// Requests that are suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashSuspects>,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     data_centre: CentreName,
     /// Cost of sending 1000 bytes between data centres, as a fraction of one call's
     /// benefit.
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub(crate) struct EntryParts {
     pub(crate) seed: u64,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     pub(crate) data_centre: CentreName,
     pub(crate) crossing_cost: f64,
     pub(crate) own_service: Option<ServiceName>,
@@ -141,7 +141,7 @@
         quotas: EntryQuotas::default(),
         holder_offset: parts.seed as usize,
         suspects: RefCell::default(),
-        names: parts.names,
+        header_names: parts.header_names,
         data_centre: parts.data_centre,
         crossing_cost: parts.crossing_cost,
         route_stats: RefCell::default(),
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -84,13 +84,15 @@
     pub(super) async fn admit(
         &self,
         account: &AccountParameters,
-        id: &str,
+        request_id: &str,
     ) -> Result<(), Response<ResponseBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
         let requested =
             match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
                 QuotaDecision::Admit => return Ok(()),
-                QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
+                QuotaDecision::Refuse(wait_ms) => {
+                    return Err(self.over_quota(account, request_id, wait_ms));
+                }
                 QuotaDecision::AskHolder(requested) => requested,
             };
         match self.request_grant(&account.name, quota, requested).await {
@@ -99,10 +101,11 @@
                 self.with_credit(&account.name, |credit| {
                     credit.mark_exhausted(self.clock.now(), wait_ms);
                 });
-                Err(self.over_quota(account, id, wait_ms))
+                Err(self.over_quota(account, request_id, wait_ms))
             }
             QuotaResult::Unreachable => {
-                info!(self.logger, "quota holders unreachable"; "id" => id, "account" => %account.name);
+                info!(self.logger, "quota holders unreachable"; "id" => request_id,
+                    "account" => %account.name);
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 Err(responses::not_run(status, "quota_unreached", UNREACHABLE_RETRY_MS))
             }
@@ -112,10 +115,10 @@
     fn over_quota(
         &self,
         account: &AccountParameters,
-        id: &str,
+        request_id: &str,
         wait_ms: u32,
     ) -> Response<ResponseBody> {
-        info!(self.logger, "over quota"; "id" => id, "account" => %account.name,
+        info!(self.logger, "over quota"; "id" => request_id, "account" => %account.name,
             "wait_ms" => wait_ms);
         responses::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
     }
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -115,7 +115,7 @@
             if next != RetryDecision::Retry {
                 return failure.unwrap_or_else(|| final_response(next, refusal));
             }
-            info!(self.logger, "retrying"; "id" => &*call.id, "cause" => cause);
+            info!(self.logger, "retrying"; "id" => &*call.request_id, "cause" => cause);
             self.metrics.retries.with_label_values(&[cause]).inc();
         }
     }
@@ -173,12 +173,14 @@
     fn log_choice(&self, call: &CallerCall, chosen: &ChosenTarget) {
         let revision = self.active.borrow().as_ref().map_or(0, |active| active.head.revision);
         let load = chosen.load;
-        info!(self.logger, "chosen"; "id" => &*call.id, "digest" => %call.digest, "route" => &*call.options.kind, "worth" => call.options.priority.worth,
+        info!(self.logger, "chosen"; "id" => &*call.request_id, "digest" => %call.digest,
+            "route" => &*call.options.kind, "worth" => call.options.priority.worth,
             "objective_ms" => call.options.objective_ms, "service" => %call.service,
             "target" => %chosen.name, "at" => %chosen.location.host, "revision" => revision,
             "in_flight" => load.in_flight, "queued" => load.queued, "slots" => load.slots,
             "service_us" => load.service_us, "slowness" => load.slowness,
-            "load_age_us" => chosen.load_age.0, "left_us" => call.deadline.since(self.clock.now()).0);
+            "load_age_us" => chosen.load_age.0,
+            "left_us" => call.deadline.since(self.clock.now()).0);
     }
 
     /// Determines the outcome of an earlier call with the same idempotency key.
--- a/src/call/entry/serving.rs
+++ b/src/call/entry/serving.rs
@@ -79,11 +79,16 @@
 
     async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived_at = self.clock.now();
-        let id = self.names.request_id.and_then(|name| headers::get_str(request.headers(), name));
-        let id: Arc<str> = Arc::from(id.unwrap_or_default());
-        let in_progress =
-            CallInProgress { duty: &self, id: &id, arrived_at, answered: Cell::new(false) };
-        let mut response = match intake::receive(&self, request, &id).await {
+        let request_id =
+            self.header_names.request_id.and_then(|name| headers::get_str(request.headers(), name));
+        let request_id: Arc<str> = Arc::from(request_id.unwrap_or_default());
+        let in_progress = CallInProgress {
+            duty: &self,
+            request_id: &request_id,
+            arrived_at,
+            answered: Cell::new(false),
+        };
+        let mut response = match intake::receive(&self, request, &request_id).await {
             Ok(call) => self.route(call).await,
             Err(response) => response,
         };
@@ -93,20 +98,22 @@
         let took = self.clock.now().since(arrived_at);
         self.metrics.latency.observe(took.duration().as_secs_f64());
         in_progress.answered.set(true);
-        self.log_response(&id, &response, took);
+        self.log_response(&request_id, &response, took);
         self.finish_head(&mut response);
         response
     }
 
-    fn log_response(&self, id: &str, response: &Response<ResponseBody>, took: MicroTime) {
+    fn log_response(&self, request_id: &str, response: &Response<ResponseBody>, took: MicroTime) {
         let text = |name| headers::get_str(response.headers(), name).unwrap_or_default();
         let (outcome, reason) = (text(headers::OUTCOME), text(headers::REASON));
         let status = response.status().as_u16();
         if reason.is_empty() {
-            info!(self.logger, "answered"; "id" => id, "status" => status, "took_us" => took.0,
+            info!(self.logger, "answered"; "id" => request_id, "status" => status,
+                "took_us" => took.0,
                 "target" => text(headers::TARGET));
         } else {
-            warn!(self.logger, "call failed"; "id" => id, "status" => status, "took_us" => took.0,
+            warn!(self.logger, "call failed"; "id" => request_id, "status" => status,
+                "took_us" => took.0,
                 "outcome" => outcome, "reason" => reason,
                 "retry_after_ms" => text(headers::RETRY_AFTER_MS));
         }
@@ -119,7 +126,7 @@
         if let Some(ms) = retry_ms.and_then(|ms| ms.parse::<u32>().ok()) {
             headers.insert(RETRY_AFTER, self.retry_after(ms));
         }
-        if !self.names.railspan_headers {
+        if !self.header_names.railspan_headers {
             for name in headers::RAILSPAN_RESPONSE_HEADERS {
                 headers.remove(*name);
             }
@@ -133,7 +140,7 @@
     /// otherwise rounded up and at least 1.
     fn retry_after(&self, ms: u32) -> HeaderValue {
         let whole_seconds = HeaderValue::from(ms.div_ceil(1_000).max(1));
-        if !self.names.fractional_retry_after {
+        if !self.header_names.fractional_retry_after {
             return whole_seconds;
         }
         let seconds = format!("{:.3}", f64::from(ms) / 1_000.0);
@@ -155,7 +162,7 @@
 /// has disconnected.
 struct CallInProgress<'a> {
     duty: &'a EntryDuty,
-    id: &'a str,
+    request_id: &'a str,
     arrived_at: MicroTime,
     answered: Cell<bool>,
 }
@@ -164,7 +171,8 @@
     fn drop(&mut self) {
         if !self.answered.get() {
             let elapsed = self.duty.clock.now().since(self.arrived_at);
-            info!(self.duty.logger, "caller disconnected"; "id" => self.id, "after_us" => elapsed.0);
+            info!(self.duty.logger, "caller disconnected"; "id" => self.request_id,
+                "after_us" => elapsed.0);
         }
     }
 }
--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -48,7 +48,8 @@
             return None;
         }
         self.metrics.blamed_calls.inc();
-        warn!(self.logger, "blamed request rejected"; "id" => &*call.id, "digest" => %call.digest,
+        warn!(self.logger, "blamed request rejected"; "id" => &*call.request_id,
+            "digest" => %call.digest,
             "crashes" => record.crashes, "ran" => failure_decision == RetryDecision::ReportUnknown);
         Some(match failure_decision {
             RetryDecision::ReportUnknown => responses::unknown(REASON, None),
--- a/src/call/guard/call_admission.rs
+++ b/src/call/guard/call_admission.rs
@@ -102,7 +102,9 @@
         head: &CallHead,
         respond: &mut SendResponse<Bytes>,
     ) -> Result<Option<HeldClaim>, Option<AnswerHead>> {
-        if head.incarnation != self.incarnation || !self.targets.borrow().contains_key(&call.key) {
+        if head.incarnation != self.incarnation
+            || !self.targets.borrow().contains_key(&call.target_key)
+        {
             return Err(Some(self.refusal(call, RefusalReason::Absent, UNAVAILABLE_RETRY_MS)));
         }
         if !self.ledger.borrow_mut().register(self.clock.now(), head.call) {
@@ -170,17 +172,17 @@
             work_us: head.work_us,
             last_target: head.last,
         };
-        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.target_key) {
             target.last_call_at = self.clock.now();
         }
-        self.step_queue(&call.key, AdmissionEvent::Arrive(waiting));
+        self.step_queue(&call.target_key, AdmissionEvent::Arrive(waiting));
         decision
     }
 
     /// Makes sure that a call which was not dispatched never will be.
     fn prevent_dispatch(&self, call: &ServedCall) {
-        self.waiters.borrow_mut().remove(&call.call);
-        self.ledger.borrow_mut().revoke(self.clock.now(), call.call);
+        self.waiters.borrow_mut().remove(&call.call_id);
+        self.ledger.borrow_mut().revoke(self.clock.now(), call.call_id);
     }
 
     /// Writes the claim of a call with an idempotency key; the call keeps its slot meanwhile.
--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -72,8 +72,11 @@
         if !self.suspect_record(call.digest).runs_alone() {
             return Ok(None);
         }
-        let mutex =
-            self.targets.borrow().get(&call.key).map(|target| Arc::clone(&target.exclusive_run));
+        let mutex = self
+            .targets
+            .borrow()
+            .get(&call.target_key)
+            .map(|target| Arc::clone(&target.exclusive_run));
         let Some(mutex) = mutex else { return Err(RefusalReason::Absent) };
         let remaining = call.queue_deadline.min(call.deadline).since(self.clock.now()).duration();
         let lock = timeout(remaining, mutex.lock_owned()).await;
@@ -90,10 +93,10 @@
         if record_at_start.is_blamed() {
             return Err(RefusalReason::EndsTargets);
         }
-        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.target_key) {
             target
                 .running_requests
-                .start(call.call, TrackedRequest { digest: call.digest, record_at_start });
+                .start(call.call_id, TrackedRequest { digest: call.digest, record_at_start });
         }
         Ok(())
     }
@@ -101,18 +104,19 @@
     /// Records how a run ended; an answer from the target clears the request of suspicion.
     pub(super) fn end_run(&self, call: &ServedCall, outcome: RunOutcome) {
         let now = self.clock.now();
-        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.target_key) {
             match outcome {
                 RunOutcome::Answered | RunOutcome::NotRun => {
-                    target.running_requests.finish(call.call);
+                    target.running_requests.finish(call.call_id);
                 }
-                RunOutcome::Unanswered => target.running_requests.abandon(now, call.call),
+                RunOutcome::Unanswered => target.running_requests.abandon(now, call.call_id),
             }
         }
         let record = self.suspect_record(call.digest);
         if outcome == RunOutcome::Answered && record.is_suspected() {
             let record = record.after_clearance();
-            info!(self.logger, "request cleared"; "id" => &*call.id, "digest" => %call.digest);
+            info!(self.logger, "request cleared"; "id" => &*call.request_id,
+                "digest" => %call.digest);
             self.publish_suspects(vec![SuspectUpdate { digest: call.digest, record }]);
         }
     }
--- a/src/call/guard/health.rs
+++ b/src/call/guard/health.rs
@@ -80,7 +80,7 @@
         duty.assume_cold(&key);
         return;
     };
-    let names = duty.names;
+    let names = duty.header_names;
     let responder =
         names.responding_target.and_then(|name| headers::get_str(&answer.headers, name));
     if responder.is_some_and(|name| name != key.1.as_str()) {
@@ -122,7 +122,7 @@
             && duty.targets.borrow().is_empty()
         {
             info!(duty.logger, "target discovered"; "target" => %announcement.target);
-            let cold_remaining = parse_cold_remaining(&answer.headers, duty.names);
+            let cold_remaining = parse_cold_remaining(&answer.headers, duty.header_names);
             duty.handle_report(TargetReport::Alive {
                 announcement,
                 started_at_ms: None,
@@ -142,8 +142,8 @@
     service: &ServiceName,
     address: SocketAddr,
 ) -> Option<TargetAnnouncement> {
-    let name = headers::get_str(answer_headers, duty.names.responding_target?)?;
-    let slots = target_call::parse_slots(answer_headers, duty.names)?;
+    let name = headers::get_str(answer_headers, duty.header_names.responding_target?)?;
+    let slots = target_call::parse_slots(answer_headers, duty.header_names)?;
     Some(TargetAnnouncement {
         service: service.clone(),
         target: TargetName::from(name),
@@ -174,7 +174,7 @@
     if let Some(path) = duty.health_path()
         && let Some(answer) = fetch_health(duty, address, &path).await
     {
-        let name = duty.names.responding_target;
+        let name = duty.header_names.responding_target;
         let responder = name.and_then(|name| headers::get_str(&answer.headers, name));
         let is_same = responder.is_none_or(|responder| responder == key.1.as_str());
         return if is_same { TargetLiveness::Running } else { TargetLiveness::Ended };
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -74,7 +74,7 @@
     pub(crate) host: HostName,
     pub(crate) data_centre: CentreName,
     pub(crate) incarnation: DaemonIncarnation,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     /// Service of the host's target, if the settings name one.
     pub(crate) own_service: Option<ServiceName>,
     /// Address of the host's target, if the settings name one.
@@ -105,7 +105,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) targets: RefCell<HashMap<(ServiceName, TargetName), LocalTarget>>,
     /// Targets that ended, the most recent last; their late heartbeats are ignored.
-    pub(crate) ended: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
+    pub(crate) ended_targets: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
     pub(crate) ledger: RefCell<CallLedger>,
     /// Channels for the admission decisions, by waiting call.
     pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<AdmissionDecision>>>,
@@ -115,7 +115,7 @@
     open_streams: watch::Sender<usize>,
     pub(crate) stopping: watch::Sender<bool>,
     pub(crate) connections: Rc<TargetConnections>,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     own_service: Option<ServiceName>,
     /// Configuration in force; `None` until the first one arrives.
     pub(crate) config: RefCell<Option<Arc<FleetConfig>>>,
@@ -152,7 +152,7 @@
         incarnation: parts.incarnation,
         address: parts.address,
         targets: RefCell::default(),
-        ended: RefCell::default(),
+        ended_targets: RefCell::default(),
         ledger: RefCell::default(),
         waiters: RefCell::default(),
         suspects: RefCell::default(),
@@ -160,7 +160,7 @@
         stopping: watch::Sender::new(false),
         watchers: GuardWatchers::open(),
         connections: TargetConnections::open(clock),
-        names: parts.names,
+        header_names: parts.header_names,
         own_service: parts.own_service,
         config: RefCell::default(),
         target_lease: Cell::new(parts.target_lease),
@@ -361,13 +361,14 @@
         retry_after_ms: u32,
     ) -> AnswerHead {
         self.metrics.refusals.with_label_values(&[reason.label()]).inc();
-        let load = self.load(&call.key);
-        info!(self.logger, "call refused"; "id" => &*call.id, "target" => %call.key.1,
+        let load = self.load(&call.target_key);
+        info!(self.logger, "call refused"; "id" => &*call.request_id,
+            "target" => %call.target_key.1,
             "reason" => reason.label(), "retry_after_ms" => retry_after_ms,
             "running" => load.in_flight, "waiting" => load.queued, "limit" => load.slots,
             "slowness" => load.slowness);
         let suspect = self.suspect_record(call.digest);
-        AnswerHead::Refused { call: call.call, reason, retry_after_ms, load, suspect }
+        AnswerHead::Refused { call: call.call_id, reason, retry_after_ms, load, suspect }
     }
 
     /// Refuses new calls from now on and reports when all open streams have ended.
--- a/src/call/guard/served_call/answer_relay.rs
+++ b/src/call/guard/served_call/answer_relay.rs
@@ -31,9 +31,9 @@
 impl AnswerRelay<'_> {
     /// Reports to the entry that the call is lost: it may have run, and no answer will follow.
     pub(super) async fn report_lost(&mut self) {
-        let load = self.call.duty.load(&self.call.key);
+        let load = self.call.duty.load(&self.call.target_key);
         let suspect = self.call.duty.suspect_record(self.call.digest);
-        self.send_head(&AnswerHead::Lost { call: self.call.call, load, suspect }, true).await;
+        self.send_head(&AnswerHead::Lost { call: self.call.call_id, load, suspect }, true).await;
         self.stream = None;
     }
 
@@ -47,19 +47,19 @@
             Err(TargetFailure::NotSent) => return self.refuse(RefusalReason::Unreachable).await,
             Err(TargetFailure::Broken) => {
                 // The entry must not retry before it knows whether the target ended.
-                self.call.duty.wait_for_crash_check(&self.call.key).await;
+                self.call.duty.wait_for_crash_check(&self.call.target_key).await;
                 self.report_lost().await;
                 return CallStatus::Unknown;
             }
         };
-        let names = self.call.duty.names;
+        let names = self.call.duty.header_names;
         let reason =
             match target_call::classify_answer(self.head, answer.status, &answer.headers, names) {
                 AnswerClass::Answer => return self.forward_answer(answer).await,
                 AnswerClass::NotRun => RefusalReason::Declined,
                 AnswerClass::OtherTarget => {
                     // Another target uses the address now, so this one has ended.
-                    self.call.duty.end_target(&self.call.key.1, None);
+                    self.call.duty.end_target(&self.call.target_key.1, None);
                     RefusalReason::Absent
                 }
                 AnswerClass::Mismatched => {
@@ -98,12 +98,15 @@
             Some(_more) => answer_length(self.head, answer.status, &answer.headers),
         };
         let answered = AnswerHead::Answered {
-            call: self.call.call,
+            call: self.call.call_id,
             status: answer.status.as_u16(),
-            headers: headers::forward_response_headers(&answer.headers, self.call.duty.names),
+            headers: headers::forward_response_headers(
+                &answer.headers,
+                self.call.duty.header_names,
+            ),
             length,
             work_us: self.call.work_us(),
-            load: self.call.duty.load(&self.call.key),
+            load: self.call.duty.load(&self.call.target_key),
         };
         let Some(mut rest) = answer.rest else {
             answer.connection.release(&answer.headers);
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -49,7 +49,7 @@
     /// Returns a permit, or `None` if too many of the target's slots wait for the table.
     pub(crate) fn acquire(call: &'a ServedCall) -> Option<Self> {
         let mut targets = call.duty.targets.borrow_mut();
-        let target = targets.get_mut(&call.key)?;
+        let target = targets.get_mut(&call.target_key)?;
         let permits = usize::from(target.announcement.slots).div_ceil(CLAIM_SLOTS_DIVISOR).max(2);
         (target.claiming < permits).then(|| {
             target.claiming += 1;
@@ -60,7 +60,7 @@
 
 impl Drop for ClaimPermit<'_> {
     fn drop(&mut self) {
-        if let Some(target) = self.0.duty.targets.borrow_mut().get_mut(&self.0.key) {
+        if let Some(target) = self.0.duty.targets.borrow_mut().get_mut(&self.0.target_key) {
             // Can't underflow, since `LocalTarget::restart` keeps the count when the target
             // restarts; saturates all the same.
             target.claiming = target.claiming.saturating_sub(1);
@@ -71,11 +71,11 @@
 /// A call at this guard; dropping it removes it from the admission queue.
 pub(crate) struct ServedCall {
     duty: Rc<GuardDuty>,
-    pub(crate) call: CallId,
+    pub(crate) call_id: CallId,
     pub(crate) digest: RequestDigest,
     /// The caller's request id; empty if the caller gave none.
-    pub(crate) id: String,
-    pub(crate) key: (ServiceName, TargetName),
+    pub(crate) request_id: String,
+    pub(crate) target_key: (ServiceName, TargetName),
     arrived_at: MicroTime,
     pub(crate) deadline: MicroTime,
     /// Time at which the call is refused if it has no slot by then.
@@ -101,19 +101,20 @@
         let now = self.duty.clock.now();
         let event = match self.started_at.get() {
             Some(_) => AdmissionEvent::Finish {
-                call: self.call,
+                call: self.call_id,
                 took: self.dispatched_at.get().map(|since| now.since(since)),
                 failed: self.failed.get(),
             },
-            None => AdmissionEvent::Cancel(self.call),
+            None => AdmissionEvent::Cancel(self.call_id),
         };
-        self.duty.step_queue(&self.key, event);
+        self.duty.step_queue(&self.target_key, event);
     }
 }
 
 impl ServedCall {
     pub(crate) fn open(duty: &Rc<GuardDuty>, head: &CallHead) -> Self {
-        let id = duty.names.request_id.and_then(|name| headers::find_str(&head.headers, name));
+        let request_id =
+            duty.header_names.request_id.and_then(|name| headers::find_str(&head.headers, name));
         let now = duty.clock.now();
         let remaining = u64::from(head.remaining_ms.min(MAX_DEADLINE_MS));
         // The time until the deadline counts from when the entry sent the call, not from
@@ -121,10 +122,10 @@
         let sent_at = head.sent.map_or(now, |sent| sent.min(now));
         Self {
             duty: Rc::clone(duty),
-            call: head.call,
+            call_id: head.call,
             digest: head.digest,
-            id: id.unwrap_or_default().to_owned(),
-            key: (head.service.clone(), head.target.clone()),
+            request_id: request_id.unwrap_or_default().to_owned(),
+            target_key: (head.service.clone(), head.target.clone()),
             arrived_at: now,
             deadline: sent_at + MicroTime::from_millis(remaining),
             queue_deadline: sent_at + MicroTime::from_millis(u64::from(head.max_wait_ms)),
@@ -141,8 +142,9 @@
     fn work_us(&self) -> u32 {
         let now = self.duty.clock.now();
         let targets = self.duty.targets.borrow();
-        let slowness =
-            targets.get(&self.key).map_or(1.0, |target| target.queue.slowness_of(self.call));
+        let slowness = targets
+            .get(&self.target_key)
+            .map_or(1.0, |target| target.queue.slowness_of(self.call_id));
         let ran = self.dispatched_at.get().map_or(MicroTime(0), |since| now.since(since));
         (ran.0 as f64 / slowness) as u32
     }
@@ -158,7 +160,8 @@
         let duty = &self.duty;
         duty.metrics.dispatched.inc();
         self.dispatched_at.set(Some(duty.clock.now()));
-        info!(duty.logger, "call sent to target"; "id" => &*self.id, "target" => %self.key.1,
+        info!(duty.logger, "call sent to target"; "id" => &*self.request_id,
+            "target" => %self.target_key.1,
             "waited_us" => duty.clock.now().since(self.arrived_at).0,
             "left_us" => self.deadline.since(duty.clock.now()).0);
         let remaining = self.deadline.since(duty.clock.now()).duration();
@@ -189,16 +192,17 @@
         } else if status == CallStatus::Unknown {
             self.failed.set(true);
         }
-        info!(duty.logger, "call ended"; "id" => &*self.id, "digest" => %self.digest,
-            "target" => %self.key.1, "status" => status.label(), "failed" => self.failed.get(),
+        info!(duty.logger, "call ended"; "id" => &*self.request_id, "digest" => %self.digest,
+            "target" => %self.target_key.1, "status" => status.label(),
+            "failed" => self.failed.get(),
             "cancelled" => cancelled, "took_us" => duty.clock.now().since(self.arrived_at).0);
         self.duty.end_run(self, Self::run_outcome(&status));
         self.record(claim, &status);
         let mut ledger = duty.ledger.borrow_mut();
         if head.repeatable {
-            ledger.finish_repeatable(duty.clock.now(), self.call, status, self.deadline);
+            ledger.finish_repeatable(duty.clock.now(), self.call_id, status, self.deadline);
         } else {
-            ledger.finish(duty.clock.now(), self.call, status);
+            ledger.finish(duty.clock.now(), self.call_id, status);
         }
     }
 
@@ -223,21 +227,21 @@
         let duty = &self.duty;
         let address = {
             let targets = duty.targets.borrow();
-            targets.get(&self.key).map(|target| target.announcement.address)
+            targets.get(&self.target_key).map(|target| target.announcement.address)
         };
         let address = address.ok_or(TargetFailure::NotSent)?;
         let make_request = || {
             let remaining_ms = self.deadline.since(duty.clock.now()).duration().as_millis() as u32;
-            target_call::make_request(head, body.clone(), address, remaining_ms, duty.names)
+            target_call::make_request(head, body.clone(), address, remaining_ms, duty.header_names)
         };
         let sent = duty.connections.send(address, make_request, head.repeatable).await;
         if matches!(sent, Err(TargetFailure::NotSent)) {
-            duty.assume_cold(&self.key);
-            duty.check_for_crash(&self.key);
+            duty.assume_cold(&self.target_key);
+            duty.check_for_crash(&self.target_key);
         }
         let (response, connection) = sent?;
-        if let Some(percent) = target_call::parse_slowness(response.headers(), duty.names) {
-            duty.update_slowness(&self.key, percent);
+        if let Some(percent) = target_call::parse_slowness(response.headers(), duty.header_names) {
+            duty.update_slowness(&self.target_key, percent);
         }
         target_call::read_start(response, connection).await
     }
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -130,7 +130,7 @@
         started_at_ms: Option<u64>,
         sequence: Option<u64>,
     ) -> Option<TargetIncarnation> {
-        let mut ended = self.ended.borrow_mut();
+        let mut ended = self.ended_targets.borrow_mut();
         let index = ended.iter().position(|(ended, _)| ended == name);
         if let Some(index) = index {
             if ended[index].1.note_heartbeat(started_at_ms, sequence) != HeartbeatVerdict::Restarted
@@ -162,7 +162,7 @@
         }
         // Also records the end of an unknown target.
         incarnation.end(started_at_ms);
-        let mut ended = self.ended.borrow_mut();
+        let mut ended = self.ended_targets.borrow_mut();
         ended.retain(|(other, _)| other != name);
         ended.push_back((name.clone(), incarnation));
         if ended.len() > MAX_ENDED_TARGETS {
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -174,8 +174,8 @@
     /// Returns whether the target is avoided while there are others: it is ejected, or its host
     /// is suspect and there is no recent report.
     pub(crate) fn is_avoided(&self, now: MicroTime) -> bool {
-        let is_silent = now.since(self.reported_at) >= RECENT_REPORT_AGE;
-        self.ejected_until > now || (self.suspect && is_silent)
+        let lacks_recent_report = now.since(self.reported_at) >= RECENT_REPORT_AGE;
+        self.ejected_until > now || (self.suspect && lacks_recent_report)
     }
 
     fn record_failure(&mut self, now: MicroTime) {
--- a/src/durable/revisions.rs
+++ b/src/durable/revisions.rs
@@ -67,7 +67,8 @@
                 }
                 Err(error) => {
                     if failures == 0 {
-                        warn!(self.logger, "platform unavailable"; "error" => %error, "cursor" => cursor);
+                        warn!(self.logger, "platform unavailable"; "error" => %error,
+                            "cursor" => cursor);
                         self.send_store_lost(true);
                     }
                     failures += 1;
@@ -114,7 +115,8 @@
         let body = match serde_json::to_vec(&operator.config) {
             Ok(body) => body,
             Err(error) => {
-                warn!(self.logger, "can't encode configuration"; "revision" => operator.revision, "why" => %error);
+                warn!(self.logger, "can't encode configuration"; "revision" => operator.revision,
+                    "why" => %error);
                 return;
             }
         };
@@ -179,7 +181,8 @@
             Err(error) => {
                 drop(revisions);
                 if error != crate::rules::revision::AdoptError::Older {
-                    warn!(self.logger, "revision rejected"; "revision" => head.revision, "why" => ?error);
+                    warn!(self.logger, "revision rejected"; "revision" => head.revision,
+                        "why" => ?error);
                 }
             }
         }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -216,11 +216,11 @@
         digests
     }
 
-    /// Returns the records of all buckets whose digest differs from `theirs`.
+    /// Returns the records of all buckets whose digest differs from `peer_digests`.
     #[must_use]
-    pub fn differing_records(&self, theirs: &[u64]) -> Vec<MemberRecord> {
-        let own = self.bucket_digests();
-        let differs = |bucket: usize| theirs.get(bucket) != own.get(bucket);
+    pub fn differing_records(&self, peer_digests: &[u64]) -> Vec<MemberRecord> {
+        let own_digests = self.bucket_digests();
+        let differs = |bucket: usize| peer_digests.get(bucket) != own_digests.get(bucket);
         self.records().filter(|record| differs(record.bucket())).cloned().collect()
     }
 
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -62,7 +62,8 @@
                 Some(revision)
             }
             Err(error) => {
-                warn!(self.logger, "can't decompress revision from peer"; "revision" => revision, "why" => %error);
+                warn!(self.logger, "can't decompress revision from peer"; "revision" => revision,
+                    "why" => %error);
                 None
             }
         }
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -228,7 +228,8 @@
         let membership = self.membership.borrow();
         let centres = membership.evacuation().centres.clone();
         let own_evacuated = centres.contains(&membership.own_record().data_centre);
-        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres, "own" => own_evacuated);
+        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres,
+            "own" => own_evacuated);
         let entry = self.rings.entry.push(EntryEvent::Evacuated(centres)).is_ok();
         let guard = self.rings.guard.push(GuardEvent::Evacuated(own_evacuated)).is_ok();
         self.evacuation_reported.set(entry && guard);
@@ -370,7 +371,8 @@
         if !self.joined.replace(true) {
             // The entry needs the members before it serves.
             self.publish_view();
-            info!(self.logger, "joined the fleet"; "peers" => peers_read, "least_revision" => least_revision);
+            info!(self.logger, "joined the fleet"; "peers" => peers_read,
+                "least_revision" => least_revision);
             drop(self.rings.entry.push(EntryEvent::Joined { least_revision }));
         }
     }
--- a/src/fleet/peers/store_role.rs
+++ b/src/fleet/peers/store_role.rs
@@ -46,7 +46,8 @@
         if follows != self.following.get()
             && self.rings.platform.push(PlatformEvent::FollowStore(follows)).is_ok()
         {
-            info!(self.logger, "store follower role changed"; "follows" => follows, "alone" => isolated,
+            info!(self.logger, "store follower role changed"; "follows" => follows,
+                "alone" => isolated,
                 "unheard_us" => now.since(self.last_message_at.get()).0);
             self.following.set(follows);
         }
--- a/src/fleet/peers/suspects.rs
+++ b/src/fleet/peers/suspects.rs
@@ -64,7 +64,8 @@
         if !record.is_suspected() {
             return false;
         }
-        info!(self.logger, "request cleared by operator"; "digest" => %digest, "crashes" => record.crashes);
+        info!(self.logger, "request cleared by operator"; "digest" => %digest,
+            "crashes" => record.crashes);
         let update = SuspectUpdate { digest, record: record.after_clearance() };
         self.apply_suspects(vec![update], SuspectSource::Guard);
         true
@@ -94,7 +95,8 @@
             // After a first crash, the guard of the target logs all requests that ran there in
             // one line.
             if record.runs_alone() || !record.is_suspected() {
-                info!(self.logger, "request suspicion changed"; "digest" => %digest, "belief" => belief,
+                info!(self.logger, "request suspicion changed"; "digest" => %digest,
+                    "belief" => belief,
                     "crashes" => record.crashes, "clearances" => record.clearances);
             }
         }
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -116,7 +116,7 @@
     let seed = settings.seed.unwrap_or_else(|| DaemonIncarnation::random().0);
     let DaemonParts { client, adapter, reload } = parts;
     let deployment = settings.deployment.as_ref();
-    let names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
+    let header_names = if deployment.is_some() { adapter.headers } else { &DEFAULT_HEADER_NAMES };
     let terms = deployment.map(|settings| reload::parse_terms(adapter, &settings.terms, &logger));
 
     let listeners = listen::bind_all(settings)?;
@@ -130,7 +130,7 @@
 
     let parts = EntryParts {
         seed,
-        names,
+        header_names,
         data_centre: settings.data_centre.clone(),
         crossing_cost: deployment
             .map_or(0.0, |deployment| f64::from(deployment.crossing_cost) / 1_000.0),
@@ -153,7 +153,7 @@
         host: settings.host.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation,
-        names,
+        header_names,
         own_service: deployment.map(|deployment| deployment.service.clone()),
         own_target: deployment.and_then(|deployment| deployment.target_address),
         target_lease: terms.map_or(TARGET_LEASE, |terms| terms.target_lease),
