--- a/src/base/consts.rs
+++ b/src/base/consts.rs
@@ -52,7 +52,8 @@
 /// Maximum pause within a body that is read from a target or sent to a caller.
 pub const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which a target's announcement stays valid without a heartbeat.
+/// Time for which a target's heartbeat stays valid without another one, if the platform's terms
+/// set none.
 pub const TARGET_LEASE: Duration = Duration::from_secs(3);
 
 /// Interval between two gossip probes of one daemon.
--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -22,7 +22,7 @@
     Suspect,
     /// The daemon was suspected for too long without an answer.
     Dead,
-    /// The daemon announced that it leaves.
+    /// The daemon announced its leave: it stopped as planned.
     Left,
 }
 
@@ -33,7 +33,7 @@
     pub service: ServiceName,
     /// Name of the target.
     pub name: TargetName,
-    /// Number of calls that the target runs at once.
+    /// Maximum number of calls that the target runs at once.
     pub slots: u16,
     /// Whether the target accepts new calls.
     pub ready: bool,
@@ -130,7 +130,7 @@
         /// The member that answered.
         host: HostName,
     },
-    /// Carries updates only and is not answered.
+    /// Carries updates only and requires no reply.
     Notice,
 }
 
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -157,15 +157,15 @@
     parts: &Parts,
     body: Incoming,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let refuse = |status, reason| responses::not_run(status, reason, 0);
+    let reject = |status, reason| responses::not_run(status, reason, 0);
     let account = bearer_token(&parts.headers).and_then(|token| config.account(token));
-    let account = account.ok_or_else(|| refuse(StatusCode::UNAUTHORIZED, "no_account"))?;
+    let account = account.ok_or_else(|| reject(StatusCode::UNAUTHORIZED, "no_account"))?;
     let (service, path) = split_path(path_and_query(parts));
     let service = config.service(service);
-    let service = service.ok_or_else(|| refuse(StatusCode::NOT_FOUND, "no_service"))?;
+    let service = service.ok_or_else(|| reject(StatusCode::NOT_FOUND, "no_service"))?;
     let options = config.call_options(service, account, parts.method.as_str(), &path);
     let deadline_ms = parse_deadline(&parts.headers, options.deadline_ms)
-        .ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "bad_deadline"))?;
+        .ok_or_else(|| reject(StatusCode::BAD_REQUEST, "bad_deadline"))?;
     let deadline = arrived_at + MicroTime::from_millis(u64::from(deadline_ms));
     let body = read_body(body, &parts.headers, MAX_REQUEST_BODY).await?;
     duty.admit(account, "").await?;
@@ -188,7 +188,7 @@
     };
     if !call.options.repeatable {
         let key = idempotency_key(&parts.headers);
-        let key = key.ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "no_idempotency_key"))?;
+        let key = key.ok_or_else(|| reject(StatusCode::BAD_REQUEST, "no_idempotency_key"))?;
         call.claim = Some(make_claim(&call, key));
     }
     Ok(call)
@@ -257,7 +257,7 @@
     headers: &HeaderMap,
     limit: usize,
 ) -> Result<Bytes, Response<ResponseBody>> {
-    let refuse = |status, reason| {
+    let reject = |status, reason| {
         let mut response = responses::not_run(status, reason, 0);
         // The rest of the body is not read, so the connection can't be used again.
         let close = http::HeaderValue::from_static("close");
@@ -267,15 +267,15 @@
     let length = headers::get_str(headers, "content-length");
     let length = length.and_then(|text| text.parse::<usize>().ok());
     if length.is_some_and(|length| length > limit) {
-        return Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
+        return Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
     }
     match timeout(SENDER_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"))
+            Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"))
         }
-        Ok(Err(_broken)) => Err(refuse(StatusCode::BAD_REQUEST, "body_broken")),
-        Err(_elapsed) => Err(refuse(StatusCode::REQUEST_TIMEOUT, "body_too_slow")),
+        Ok(Err(_broken)) => Err(reject(StatusCode::BAD_REQUEST, "body_broken")),
+        Err(_elapsed) => Err(reject(StatusCode::REQUEST_TIMEOUT, "body_too_slow")),
     }
 }
 
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -62,12 +62,12 @@
     pub(crate) probe_socket: UdpSocket,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) hedge_budget: RefCell<RetryBudget>,
-    /// Budgets of the attempts that this daemon may add to the calls of each service.
+    /// Budgets of the further attempts that this daemon may make for the calls of each service.
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     retry_share: Cell<RetryShare>,
     /// Maximum number of daemons that were up in any fleet view so far.
     max_fleet_size: Cell<usize>,
-    /// Granted quota of client accounts.
+    /// Quotas of client accounts: granted requests and pending requests for grants.
     quotas: EntryQuotas,
     /// Number that selects which of an account's quota holders this entry asks first.
     holder_offset: usize,
--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -1,5 +1,5 @@
 //! Detection of requests that crash targets: records which requests ran on a target that
-//! ended, and checks each call for suspicion right before it starts.
+//! ended, and checks the crash record of each call's request right before the call starts.
 //!
 //! A lost connection doesn't prove that a target ended: the target may have closed only
 //! that connection, or be stalled. Proof is that nothing listens at its address any more,
@@ -56,8 +56,8 @@
         self.suspects.borrow().record(digest)
     }
 
-    /// Waits until a suspected call may run on its target; returns the lock that it holds
-    /// meanwhile, or `None` if it needs none.
+    /// Waits until a call may run on its target; returns the lock that it holds meanwhile, or
+    /// `None` if it needs none.
     ///
     /// Calls whose requests are suspected of several crashes run one at a time, so that the next
     /// crash identifies the request at fault.
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -80,8 +80,8 @@
     pub(crate) deadline: MicroTime,
     /// Time at which the call is refused if it has no slot by then.
     pub(crate) queue_deadline: MicroTime,
-    /// Whether the call was put in the admission queue. A copy of an earlier call never is, so
-    /// that dropping the copy doesn't remove the earlier call.
+    /// Whether the call was put in the admission queue. A late copy of an earlier call never is,
+    /// so that dropping the copy doesn't remove the earlier call.
     pub(crate) enqueued: Cell<bool>,
     /// Lock of the target's exclusive run, if the call needs it.
     pub(crate) exclusive_lock: RefCell<Option<OwnedMutexGuard<()>>>,
--- a/src/decide/benefit.rs
+++ b/src/decide/benefit.rs
@@ -2,7 +2,7 @@
 //!
 //! A call is worth most if it is answered within its latency objective. The policy estimates
 //! the probability of that for each target, from its load and the current slowness of its
-//! host, and subtracts the cost of the bytes that would cross between data centres. A local
+//! host, and subtracts the cost of the bytes that would be sent between data centres. A local
 //! target wins against an equally good remote one; a remote target wins where the local ones
 //! would be late.
 
--- a/src/decide/crash_suspects.rs
+++ b/src/decide/crash_suspects.rs
@@ -2,11 +2,11 @@
 //!
 //! A request that crashes each target it runs at and is repeated at every host would take
 //! down a whole service. When a target crashes, every request running there is suspected,
-//! and one of them is to blame. A record therefore counts crashes in a chain: a run that
-//! started with a known suspicion and whose target crashed nevertheless adds one crash. Runs
-//! that started without knowledge of each other, as at several targets that lose power
-//! together, count as one. A run that is answered clears its request at once, whichever
-//! daemon suspected it.
+//! and one of them is to blame. A crash record therefore counts chained crashes: when a
+//! target crashes, each request that ran there gets the record known at the start of its run
+//! plus one crash. Crashes of runs that started without knowledge of each other, as at
+//! several targets that lose power together, therefore count as one. A run that is answered
+//! clears its request at once, whichever daemon suspected it.
 //!
 //! Records of several daemons are merged to their maximum. Merging is commutative and
 //! idempotent, so gossip, retries and restarts can't count a crash twice.
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -174,8 +174,8 @@
         self.levels[level].max_running
     }
 
-    /// Starts and ends trials; `has_waiting` tells whether calls wait for a slot, without
-    /// which no trial starts.
+    /// Starts and ends trials. No trial starts unless `has_waiting`, that is, unless calls wait
+    /// for a slot.
     pub fn advance(&mut self, now: MicroTime, has_waiting: bool) {
         let elapsed = now.since(self.phase_start);
         let may_start = has_waiting && elapsed >= TRIAL_INTERVAL;
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -12,13 +12,13 @@
 /// this long before it.
 pub const GRANT_LIFETIME: MicroTime = MicroTime::from_millis(100);
 
-/// Time whose expected requests an entry asks for at once.
+/// Time whose expected requests are included in one request for a grant.
 const PREFETCH_TIME: MicroTime = MicroTime::from_millis(50);
 
 /// Maximum number of requests in one request for a grant.
 const MAX_REQUESTED: u16 = 64;
 
-/// Time for which an entry asks no holder after all of them had nothing left to grant.
+/// Time for which an entry requests no grant after no holder had anything left to grant.
 const EXHAUSTED_DURATION: MicroTime = MicroTime::from_millis(20);
 
 /// Half-life of an entry's estimate of an account's request rate, in seconds.
@@ -29,7 +29,7 @@
 pub enum QuotaDecision {
     /// Let the request through.
     Admit,
-    /// Ask a holder for this number of requests, the current one included.
+    /// Request a grant of this number of requests, the current one included.
     AskHolder(u16),
     /// Refuse the request; the caller may retry after this number of milliseconds.
     Refuse(u32),
@@ -40,7 +40,7 @@
 pub struct QuotaCredit {
     /// Expiry time of each grant and the requests left of it, oldest first.
     grants: VecDeque<(MicroTime, u16)>,
-    /// Time until which no holder is asked, since none had anything left to grant.
+    /// Time until which no grant is requested, since no holder had anything left to grant.
     #[serde(rename = "dry_until")]
     exhausted_until: MicroTime,
     /// Retry time returned to callers until then, in milliseconds.
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -99,7 +99,7 @@
     /// Grants up to `requested` requests of an account; returns `None` if its quota is not held
     /// here.
     ///
-    /// `settled` tells whether the entry that asks has run for at least a window.
+    /// `settled` is true if the requesting entry has run for at least a window.
     pub fn grant(
         &mut self,
         now: MicroTime,
--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -1,9 +1,9 @@
 //! Request quotas of client accounts, enforced over all daemons together.
 //!
 //! A few daemons hold the quota of an account, each a fixed part of it (`holder`,
-//! `window`), and grant requests to the entries that ask for them (`credit`). This keeps
-//! an account that is far above its quota, at one entry or at all of them, within it while
-//! hosts crash, are partitioned and restart. The part of a failed holder is not given to
+//! `window`), and grant requests to entries in advance (`credit`). This keeps an account
+//! that is far above its quota, at one entry or at all of them, within it while hosts
+//! crash, are partitioned and restart. The part of a failed holder is not given to
 //! another one before the fleet considers that holder dead, so that neither a partition
 //! nor a restart grants a part twice.
 
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -13,7 +13,7 @@
 /// Number of buckets into which a window is divided.
 const BUCKETS: u64 = 50;
 
-/// Reply of a holder to an entry that asks for a grant.
+/// Result of an entry's request for a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// Number of requests that the entry may let through.
@@ -25,9 +25,10 @@
 /// One holder's part of an account's quota.
 ///
 /// Invariant: in no window more requests are used than the part permits. A new window counts
-/// as used up, since another holder may just have granted all of it. Once an entry asks that
-/// may have got those grants, they count as made when the window was opened; as long as only
-/// entries ask that have started since, they count as spread evenly over the window before.
+/// as used up, since another holder may just have granted all of it. Those grants count as
+/// spread evenly over the window before, as long as all requests come from entries that have
+/// started since. From the first request of an entry that may have got them, they count as made
+/// when the window was opened.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuotaWindow {
     /// Number of requests that the part permits in a window.
@@ -42,7 +43,7 @@
     granted: f64,
     #[serde(rename = "opened")]
     opened_at: MicroTime,
-    /// Whether all entries that have asked so far had started within the last window.
+    /// Whether all requests so far came from entries that had started within the last window.
     #[serde(rename = "fresh")]
     only_new_entries: bool,
     /// Time up to which freed requests have been promised to refused callers.
@@ -77,7 +78,7 @@
         changed
     }
 
-    /// Grants up to `requested` requests to an entry; `settled` tells whether that entry has run
+    /// Grants up to `requested` requests to an entry; `settled` is true if that entry has run
     /// for at least a window.
     pub fn grant(&mut self, now: MicroTime, requested: u16, settled: bool) -> QuotaGrant {
         if settled {
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,6 +1,6 @@
 //! Limits on the attempts of a call, so that retries can't multiply.
 //!
-//! Only the entry next to a failure retries: an answer of a target is final, even if it says
+//! Only the entry next to a failure retries: an answer of a target is final, even if it reports
 //! that a nested call failed. The attempts of a call tree therefore add up and never multiply.
 
 use serde::Serialize;
@@ -161,7 +161,8 @@
         Self { repeatable, max_sent, ended: 0, sent: 0, may_have_run: false }
     }
 
-    /// Records the result of an attempt; `in_time` tells whether the deadline is still ahead.
+    /// Records the result of an attempt and decides whether to make another one, which needs
+    /// the deadline to be still ahead (`in_time`).
     pub fn record(
         &mut self,
         result: AttemptResult,
--- a/src/decide/running_requests.rs
+++ b/src/decide/running_requests.rs
@@ -17,7 +17,7 @@
 /// Maximum number of abandoned runs that are kept.
 const MAX_ABANDONED_RUNS: usize = 128;
 
-/// A run of a request and the suspicion known at its start.
+/// A run of a request, with the crash record known at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedRequest {
     /// Digest of the request.
--- a/src/durable/rows.rs
+++ b/src/durable/rows.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Passes members to the peers duty; `reached` tells whether the store was read.
+    /// Passes members to the peers duty; `reached` is true if they were read from the store.
     pub(super) fn send_members(&self, members: Vec<MemberRecord>, reached: bool) {
         if self.rings.peers.push(PeersEvent::Bootstrap { members, reached }).is_err() {
             self.metrics.ring_drops.with_label_values(&["peers"]).inc();
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -123,7 +123,7 @@
     Write(TableWrite),
     /// A peer sent a revision.
     RevisionOffer { head: RevisionHead, body: Bytes },
-    /// Look for a newer revision now.
+    /// A newer revision may be in the store: read it now.
     Hint,
     /// Follow the store on behalf of the fleet (`true`), or no longer do so.
     FollowStore(bool),
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -206,7 +206,7 @@
 
     /// Creates a message that piggybacks as many pending updates as fit.
     ///
-    /// `is_remote` tells whether the message goes to another data centre.
+    /// `is_remote` is true if the message goes to another data centre.
     pub(super) fn piggyback_message(
         &mut self,
         kind: GossipKind,
--- a/src/fleet/peers/exchange.rs
+++ b/src/fleet/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of member records and revisions with one peer.
+//! Full exchanges of member records, and fetches of revisions, with one peer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -35,7 +35,7 @@
 /// Number of peers from which a new daemon fetches records and revisions when it joins.
 const JOIN_PEERS: usize = 3;
 
-/// Time between two log lines of the traffic between data centres.
+/// Interval between two log lines of the traffic between data centres.
 const TRAFFIC_LOG_INTERVAL: MicroTime = MicroTime::from_millis(10_000);
 
 /// Minimum time between two views of the fleet that are sent to the other duties.
@@ -58,14 +58,14 @@
     socket: UdpSocket,
     /// Configured addresses of daemons to join through, besides known members.
     seeds: Vec<SocketAddr>,
-    /// Whether the view has changed since it was sent to the other duties.
+    /// Whether the view of the fleet has changed since it was sent to the other duties.
     view_dirty: RefCell<bool>,
     /// Whether the entry may serve.
     joined: RefCell<bool>,
     /// Whether records and revisions of peers are being fetched before joining.
     joining: RefCell<bool>,
     fetching_revision: RefCell<bool>,
-    /// Set when joining starts: the platform's rows were read or could not be read, or a peer
+    /// Whether joining has started: the store's rows were read or could not be read, or a peer
     /// sent a message.
     bootstrapped: Cell<bool>,
     /// Whether the followers of the store have to be selected again.
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Does the periodic work.
+    /// Advances the membership state machine, and publishes the view, at regular intervals.
     async fn tick(self: Rc<Self>) {
         let mut timer = tokio::time::interval(GOSSIP_PERIOD / 5);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -307,7 +307,7 @@
         *self.view_dirty.borrow_mut() = !(entry && guard && platform);
     }
 
-    /// Joins through a peer that sent a message, if the rows of the table were not read yet.
+    /// Joins through a peer that sent a message, if the store's rows were not read yet.
     fn join_if_discovered(self: &Rc<Self>) {
         let discovered = !*self.joined.borrow() && self.membership.borrow().knows_others();
         if discovered && !*self.joining.borrow() {
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Merges the members from the table and fetches records and revisions from some peers.
+    /// Merges the members from the store and fetches records and revisions from some peers.
     ///
     /// The entry may serve at once if `reached`, that is, if the store was read; otherwise
     /// once the first peer has replied.
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Start and handle of a daemon: its threads, and the rings between its duties.
+//! Start and handle of a daemon: its duties, their threads, and the ring buffers between them.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon process: start, settings, listeners, reload and planned stop.
 //!
-//! `daemon` starts the duties and connects them; `adapter` is the interface that a
-//! deployment's platform implements.
+//! `daemon` starts the duties and connects them; `admin` and `control` are HTTP interfaces;
+//! `adapter` is the interface that the adapter of a deployment's platform implements.
 
 pub(crate) mod adapter;
 pub(crate) mod admin;
--- a/src/rules/account.rs
+++ b/src/rules/account.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Two accounts with the same token, whose requests can't be told apart.
+/// Two accounts with the same token, whose requests can't be distinguished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SharedToken<'a> {
     pub(crate) first: &'a AccountName,
