--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -99,13 +99,13 @@
 
 /// Attempts a call at a target.
 ///
-/// `last` is true if no other target is tried afterwards.
+/// `last_target` is true if no other target is tried afterwards.
 pub(crate) async fn run(
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     target: &TargetName,
     location: &TargetLocation,
-    last: bool,
+    last_target: bool,
 ) -> AttemptEnd {
     let now = duty.clock.now();
     let mut outstanding = OutstandingCall {
@@ -139,7 +139,7 @@
     }
     load_watch::watch_target(duty, &call.service, target, location);
     let remaining = call.deadline.since(duty.clock.now()).duration();
-    let head = make_head(duty, call, target, location, guard_time, remaining, last);
+    let head = make_head(duty, call, target, location, guard_time, remaining, last_target);
     let sent = timeout_at(deadline, send(sender, &head, &call.body)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -217,7 +217,7 @@
     location: &TargetLocation,
     sent: Option<MicroTime>,
     remaining: Duration,
-    last: bool,
+    last_target: bool,
 ) -> CallHead {
     let work_us = duty.route_stats.borrow().work_us(&call.options);
     let max_wait_ms = max_wait(call, work_us, duty.clock.now()).ceil_millis() as u32;
@@ -236,7 +236,7 @@
         max_wait_ms,
         work_us: work_us as u32,
         repeatable: call.options.repeatable,
-        last,
+        last: last_target,
         claim: call.claim.clone(),
         method: call.method.clone(),
         path: call.path.clone(),
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -41,12 +41,12 @@
     call: &CallerCall,
     chosen: &ChosenTarget,
     attempts: &mut CallAttempts,
-    last: bool,
+    last_target: bool,
     tried: &mut Vec<TargetName>,
 ) -> AttemptEnd {
-    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last));
+    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last_target));
     // A request that may crash its target must not run at two targets.
-    let must_not_hedge = last || duty.suspect_record(call).is_suspected();
+    let must_not_hedge = last_target || duty.suspect_record(call).is_suspected();
     if must_not_hedge || call.options.hedge == HedgeRule::Never || !attempts.may_hedge() {
         return first.await;
     }
@@ -68,8 +68,8 @@
         // changed at the next check.
     };
     attempts.count_hedge();
-    let last = second.untried == 0;
-    let second = pin!(attempt::run(duty, call, &second.name, &second.location, last));
+    let last_target = second.untried == 0;
+    let second = pin!(attempt::run(duty, call, &second.name, &second.location, last_target));
     match select(first, second).await {
         Either::Left((end, second)) => prefer_answer(end, second).await,
         Either::Right((end, first)) => prefer_answer(end, first).await,
--- a/src/call/entry/pool.rs
+++ b/src/call/entry/pool.rs
@@ -94,10 +94,10 @@
 
     /// Removes the connections to guards that are gone and records which guards are in other
     /// data centres; returns the number of guards that are up.
-    pub(crate) fn update(&self, view: &FleetView, centre: &CentreName) -> usize {
+    pub(crate) fn update(&self, view: &FleetView, own_centre: &CentreName) -> usize {
         let serving = || view.serving();
         let up: HashSet<_> = serving().map(|member| (member.guard, member.incarnation)).collect();
-        let remote = serving().filter(|member| member.data_centre != *centre);
+        let remote = serving().filter(|member| member.data_centre != *own_centre);
         *self.remote_guards.borrow_mut() = remote.map(|member| member.guard).collect();
         self.connections.borrow_mut().retain(|key, _| up.contains(key));
         up.len()
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -64,47 +64,55 @@
             load_probe::probe_random_target(self, &call.service);
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
-            let last = attempts.is_last_attempt() || chosen.untried == 0;
-            let (result, cause) =
-                match hedge::run(self, &call, &chosen, &mut attempts, last, &mut tried).await {
-                    AttemptEnd::Answered(response) if response.status().is_server_error() => {
+            let last_target = attempts.is_last_attempt() || chosen.untried == 0;
+            let (result, cause) = match hedge::run(
+                self,
+                &call,
+                &chosen,
+                &mut attempts,
+                last_target,
+                &mut tried,
+            )
+            .await
+            {
+                AttemptEnd::Answered(response) if response.status().is_server_error() => {
+                    unusable.push(chosen.name);
+                    failure = Some(response);
+                    (AttemptResult::Failed, "failed")
+                }
+                AttemptEnd::Answered(response) => {
+                    self.with_retry_budget(&call.service, |budget| {
+                        attempts.record(AttemptResult::Answered, true, budget)
+                    });
+                    self.hedge_budget.borrow_mut().record_success();
+                    return response;
+                }
+                AttemptEnd::Refused { reason, retry_after_ms } => {
+                    refusal = (reason.label(), retry_after_ms);
+                    // A full or slow target may be chosen again for the last attempt:
+                    // its queue may be the shortest, and a slow period is over by then
+                    // or the call waits for its end.
+                    if !matches!(reason, RefusalReason::Full | RefusalReason::Slow) {
                         unusable.push(chosen.name);
-                        failure = Some(response);
-                        (AttemptResult::Failed, "failed")
                     }
-                    AttemptEnd::Answered(response) => {
-                        self.with_retry_budget(&call.service, |budget| {
-                            attempts.record(AttemptResult::Answered, true, budget)
-                        });
-                        self.hedge_budget.borrow_mut().record_success();
+                    let declined = reason == RefusalReason::Declined;
+                    let result =
+                        if declined { AttemptResult::Declined } else { AttemptResult::Refused };
+                    (result, reason.label())
+                }
+                AttemptEnd::Lost => {
+                    unusable.push(chosen.name);
+                    (AttemptResult::Lost, "lost")
+                }
+                AttemptEnd::Claimed { row, version } => {
+                    if let Some(response) = self.resolve_claim(&call, &row).await {
                         return response;
                     }
-                    AttemptEnd::Refused { reason, retry_after_ms } => {
-                        refusal = (reason.label(), retry_after_ms);
-                        // A full or slow target may be chosen again for the last attempt:
-                        // its queue may be the shortest, and a slow period is over by then
-                        // or the call waits for its end.
-                        if !matches!(reason, RefusalReason::Full | RefusalReason::Slow) {
-                            unusable.push(chosen.name);
-                        }
-                        let declined = reason == RefusalReason::Declined;
-                        let result =
-                            if declined { AttemptResult::Declined } else { AttemptResult::Refused };
-                        (result, reason.label())
-                    }
-                    AttemptEnd::Lost => {
-                        unusable.push(chosen.name);
-                        (AttemptResult::Lost, "lost")
-                    }
-                    AttemptEnd::Claimed { row, version } => {
-                        if let Some(response) = self.resolve_claim(&call, &row).await {
-                            return response;
-                        }
-                        take_over_claim(&mut call, version);
-                        tried.clear();
-                        (AttemptResult::TakeOver, "take_over")
-                    }
-                };
+                    take_over_claim(&mut call, version);
+                    tried.clear();
+                    (AttemptResult::TakeOver, "take_over")
+                }
+            };
             let in_time = self.clock.now() < call.deadline;
             let next = self.with_retry_budget(&call.service, |budget| {
                 attempts.record(result, in_time, budget)
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -131,7 +131,7 @@
             PlatformEvent::FollowStore(follows) => _ = duty.following.send_replace(follows),
             PlatformEvent::FleetSize(size) => *duty.fleet_size.borrow_mut() = size,
             PlatformEvent::Dump(reply) => drop(reply.send(duty.dump())),
-            PlatformEvent::Leave(done) => {
+            PlatformEvent::RemoveMemberRow(done) => {
                 spawn_local(Rc::clone(&duty).remove_member_row(own.clone(), done));
             }
         }
--- a/src/duty/events.rs
+++ b/src/duty/events.rs
@@ -132,7 +132,7 @@
     /// Request for the duty's state, as JSON.
     Dump(oneshot::Sender<Value>),
     /// Delete this daemon's member row; reply when that is done.
-    Leave(oneshot::Sender<()>),
+    RemoveMemberRow(oneshot::Sender<()>),
 }
 
 /// Events for the admin duty.
--- a/src/process/stop.rs
+++ b/src/process/stop.rs
@@ -15,7 +15,7 @@
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum wait for the member row to be removed from the platform's table.
-const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
+const ROW_REMOVAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Fraction of the time between a stop signal and a kill during which callers are asked to
 /// use another daemon. It is longer than the platform takes to notice that this one isn't
@@ -70,8 +70,8 @@
     let (leave_done, peers_notified) = oneshot::channel();
     let leave_sent = rings.peers.push(PeersEvent::Leave(leave_done)).is_ok();
     // Runs beside the other steps, so that an unavailable platform doesn't delay the stop.
-    let (withdraw_done, withdrawn) = oneshot::channel();
-    let withdraw_sent = rings.platform.push(PlatformEvent::Leave(withdraw_done)).is_ok();
+    let (removal_done, row_removed) = oneshot::channel();
+    let removal_sent = rings.platform.push(PlatformEvent::RemoveMemberRow(removal_done)).is_ok();
     if rings.entry.push(EntryEvent::Withdraw).is_ok() {
         tokio::time::sleep(drain).await;
     }
@@ -89,8 +89,8 @@
         drop(tokio::time::timeout(LEAVE_TIMEOUT, peers_notified).await);
         tokio::time::sleep(LEAVE_TIMEOUT.saturating_sub(drain)).await;
     }
-    if withdraw_sent {
-        drop(tokio::time::timeout(WITHDRAW_TIMEOUT.saturating_sub(drain), withdrawn).await);
+    if removal_sent {
+        drop(tokio::time::timeout(ROW_REMOVAL_TIMEOUT.saturating_sub(drain), row_removed).await);
     }
     info!(logger, "stopped"; "entry" => entry_sent, "guard" => guard_sent, "in_time" => in_time);
 }
