--- a/src/base/member.rs
+++ b/src/base/member.rs
@@ -9,7 +9,7 @@
 use crate::base::suspect::SuspectUpdate;
 
 /// Number of buckets by which full exchanges compare member records.
-pub const SYNC_BUCKETS: usize = 64;
+pub const EXCHANGE_BUCKETS: usize = 64;
 
 /// Membership state of a daemon. At the same record version, a later state in this order
 /// replaces an earlier one.
@@ -22,7 +22,7 @@
     Suspect,
     /// The daemon was suspected for too long without an answer.
     Dead,
-    /// The daemon announced that it leaves.
+    /// The daemon announced its leave: it stopped as planned.
     Left,
 }
 
@@ -33,7 +33,7 @@
     pub service: ServiceName,
     /// Name of the target.
     pub name: TargetName,
-    /// Number of calls that the target runs at once.
+    /// Maximum number of calls that the target runs at once.
     pub slots: u16,
     /// Whether the target accepts new calls.
     pub ready: bool,
@@ -78,7 +78,7 @@
         (self.version, self.state) > (other.version, other.state)
     }
 
-    /// Returns whether the daemon may be serving.
+    /// Returns whether the daemon is up as far as known: alive or only suspected.
     #[must_use]
     pub fn is_up(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
@@ -97,7 +97,7 @@
     /// Returns the record's bucket in full exchanges.
     pub(crate) fn bucket(&self) -> usize {
         let hash = blake3::hash(self.host.as_str().as_bytes());
-        usize::from(hash.as_bytes()[0]) % SYNC_BUCKETS
+        usize::from(hash.as_bytes()[0]) % EXCHANGE_BUCKETS
     }
 
     /// Returns a hash of the fields by which full exchanges detect differing records.
@@ -130,7 +130,7 @@
         /// The member that answered.
         host: HostName,
     },
-    /// Carries updates only and is not answered.
+    /// Carries updates only and requires no reply.
     Notice,
 }
 
@@ -167,7 +167,7 @@
 }
 
 impl FleetView {
-    /// Returns the members that may be serving.
+    /// Returns the members that are up as far as known, and so may be serving.
     pub fn serving(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().filter(|member| member.is_up())
     }
--- a/src/call/entry/attempt.rs
+++ b/src/call/entry/attempt.rs
@@ -25,17 +25,17 @@
 /// Retry delay after an attempt that the entry itself counts as refused, in milliseconds.
 const ENTRY_REFUSAL_RETRY_MS: u32 = 100;
 
-/// Longest wait for a guard's reply to a revocation.
+/// Maximum wait for a guard's reply to a revocation.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest body that is sent in one write with its head, in bytes.
+/// Maximum size of a body that is sent in one write with its head, in bytes.
 const MAX_INLINE_BODY: usize = 64 << 10;
 
-/// Time reserved for a call's work, as a multiple of its usual time: shared hosts take about a
-/// quarter longer, and the times of single calls vary by half.
+/// Time reserved for a call's work, as a multiple of the average of its route: shared hosts take
+/// about a quarter longer, and the times of single calls vary by half.
 const WORK_MARGIN: f64 = 1.5;
 
-/// How an attempt ended.
+/// End of an attempt.
 pub(crate) enum AttemptEnd {
     /// The target answered.
     Answered(Response<ResponseBody>),
@@ -58,16 +58,16 @@
     duty: Rc<EntryDuty>,
     service: ServiceName,
     target: TargetName,
-    started: MicroTime,
+    started_at: MicroTime,
     /// Time from the start of the attempt to the head of the answer, if there is one.
     latency: Option<MicroTime>,
     failed: bool,
-    /// Whether no connection to the guard could be used.
+    /// Whether the guard could not be reached.
     unreachable: bool,
 }
 
 impl OutstandingCall {
-    /// Records that no connection to the guard could be used.
+    /// Records that the guard could not be reached.
     fn mark_unreachable(&mut self, location: &TargetLocation) {
         self.unreachable = true;
         self.duty.report_unreachable(&location.host);
@@ -99,20 +99,20 @@
 
 /// Attempts a call at a target.
 ///
-/// With `last`, no other target is tried afterwards.
+/// `last_target` is true if no other target is tried afterwards.
 pub(crate) async fn run(
     duty: &Rc<EntryDuty>,
     call: &CallerCall,
     target: &TargetName,
     location: &TargetLocation,
-    last: bool,
+    last_target: bool,
 ) -> AttemptEnd {
     let now = duty.clock.now();
     let mut outstanding = OutstandingCall {
         duty: Rc::clone(duty),
         service: call.service.clone(),
         target: target.clone(),
-        started: now,
+        started_at: now,
         latency: None,
         failed: false,
         unreachable: false,
@@ -139,7 +139,7 @@
     }
     load_watch::watch_target(duty, &call.service, target, location);
     let remaining = call.deadline.since(duty.clock.now()).duration();
-    let head = make_head(duty, call, target, location, guard_time, remaining, last);
+    let head = make_head(duty, call, target, location, guard_time, remaining, last_target);
     let sent = timeout_at(deadline, send(sender, &head, &call.body)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -168,9 +168,10 @@
             if status.is_none() {
                 // Neither the call nor the revocation was answered; the connection may
                 // be dead while the guard is not.
-                duty.pool.forget(location.guard, location.incarnation);
+                duty.pool.remove(location.guard, location.incarnation);
                 duty.report_unreachable(&location.host);
-                info!(duty.logger, "guard not responding"; "id" => &*call.id, "at" => %location.host);
+                info!(duty.logger, "guard not responding"; "id" => &*call.request_id,
+                    "at" => %location.host);
             }
             let Ok(answer) = timeout_at(deadline, &mut answer_future).await else {
                 outstanding.failed = status.is_none();
@@ -191,7 +192,7 @@
         }
         return end_attempt(outstanding, head.call, &answer, reader);
     }
-    // The connection broke, as it does some time after its host is gone.
+    // The connection broke, as it does some time after its host has failed.
     outstanding.failed = true;
     duty.report_unreachable(&location.host);
     AttemptEnd::Lost
@@ -216,7 +217,7 @@
     location: &TargetLocation,
     sent: Option<MicroTime>,
     remaining: Duration,
-    last: bool,
+    last_target: bool,
 ) -> CallHead {
     let work_us = duty.route_stats.borrow().work_us(&call.options);
     let max_wait_ms = max_wait(call, work_us, duty.clock.now()).ceil_millis() as u32;
@@ -235,7 +236,7 @@
         max_wait_ms,
         work_us: work_us as u32,
         repeatable: call.options.repeatable,
-        last,
+        last: last_target,
         claim: call.claim.clone(),
         method: call.method.clone(),
         path: call.path.clone(),
@@ -253,7 +254,7 @@
     timeout_at(deadline, connecting).await.ok()?
 }
 
-/// How sending a call failed.
+/// Failure to send a call.
 enum SendFailure {
     /// The guard did not receive the whole call, so it can't run it.
     NotSent,
@@ -301,7 +302,7 @@
     answer: &AnswerHead,
     reader: HeadReader,
 ) -> AttemptEnd {
-    let latency = outstanding.duty.clock.now().since(outstanding.started);
+    let latency = outstanding.duty.clock.now().since(outstanding.started_at);
     match answer {
         AnswerHead::Answered { call: echoed, .. }
         | AnswerHead::Refused { call: echoed, .. }
@@ -325,8 +326,8 @@
         }
         AnswerHead::Refused { reason, retry_after_ms, load, .. } => {
             outstanding.update_load(*load);
-            let gone = matches!(reason, RefusalReason::Unreachable | RefusalReason::Absent);
-            outstanding.failed = gone || *reason == RefusalReason::Leaving;
+            let unavailable = matches!(reason, RefusalReason::Unreachable | RefusalReason::Absent);
+            outstanding.failed = unavailable || *reason == RefusalReason::Leaving;
             AttemptEnd::Refused { reason: *reason, retry_after_ms: *retry_after_ms }
         }
         AnswerHead::Lost { load, .. } => {
@@ -341,7 +342,7 @@
 }
 
 /// Asks a guard to ensure that a call never runs; returns the call's status, or `None` if
-/// the guard does not respond in time.
+/// the guard does not reply in time.
 pub(crate) async fn revoke(
     duty: &EntryDuty,
     guard: SocketAddr,
--- a/src/call/entry/hedge.rs
+++ b/src/call/entry/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second attempt beside a slow first one, for calls that may run twice.
+//! Hedging: a second attempt parallel to a slow first one, for calls that may run twice.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -16,14 +16,15 @@
 use crate::decide::retry::{CallAttempts, RetryBudget, hedge_after};
 use crate::rules::options::HedgeRule;
 
-/// Multiple of its usual time after which an attempt is overdue and is hedged.
+/// Multiple of the average work time of its route after which an attempt is overdue and is
+/// hedged.
 const OVERDUE_FACTOR: f64 = 1.5;
 
 /// Interval at which the progress of an attempt is checked: a fraction of the time for
 /// which a host stays slow.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Shortest time after which an attempt is overdue; hedging shorter calls gains nothing
+/// Minimum time after which an attempt is overdue; hedging shorter calls gains nothing
 /// because of the network delay.
 const MIN_OVERDUE_TIME: MicroTime = MicroTime::from_millis(15);
 
@@ -40,12 +41,12 @@
     call: &CallerCall,
     chosen: &ChosenTarget,
     attempts: &mut CallAttempts,
-    last: bool,
+    last_target: bool,
     tried: &mut Vec<TargetName>,
 ) -> AttemptEnd {
-    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last));
+    let mut first = pin!(attempt::run(duty, call, &chosen.name, &chosen.location, last_target));
     // A request that may crash its target must not run at two targets.
-    let must_not_hedge = last || duty.suspect_record(call).is_suspected();
+    let must_not_hedge = last_target || duty.suspect_record(call).is_suspected();
     if must_not_hedge || call.options.hedge == HedgeRule::Never || !attempts.may_hedge() {
         return first.await;
     }
@@ -67,15 +68,15 @@
         // changed at the next check.
     };
     attempts.count_hedge();
-    let last = second.untried == 0;
-    let second = pin!(attempt::run(duty, call, &second.name, &second.location, last));
+    let last_target = second.untried == 0;
+    let second = pin!(attempt::run(duty, call, &second.name, &second.location, last_target));
     match select(first, second).await {
         Either::Left((end, second)) => prefer_answer(end, second).await,
         Either::Right((end, first)) => prefer_answer(end, first).await,
     }
 }
 
-/// Waits for the first attempt; returns `None` once a second one should start beside it.
+/// Waits for the first attempt; returns `None` once a second one should start parallel to it.
 async fn wait_for_first(
     duty: &EntryDuty,
     call: &CallerCall,
@@ -102,34 +103,34 @@
 
 /// Progress of an attempt, estimated from its target's speed.
 struct AttemptProgress {
-    /// Usual work time of the call's route, in microseconds.
+    /// Average work time of the call's route, in microseconds.
     work_us: f64,
-    /// Part of the work that is estimated to be done, in microseconds at usual speed.
+    /// Part of the work that is estimated to be done, in microseconds at normal speed.
     done_us: f64,
-    started: MicroTime,
-    checked: MicroTime,
+    started_at: MicroTime,
+    checked_at: MicroTime,
 }
 
 impl AttemptProgress {
     fn open(duty: &EntryDuty, call: &CallerCall) -> Self {
         let work_us = duty.route_stats.borrow().work_us(&call.options);
         let now = duty.clock.now();
-        Self { work_us, done_us: 0.0, started: now, checked: now }
+        Self { work_us, done_us: 0.0, started_at: now, checked_at: now }
     }
 
-    /// Adds the work done since the last check, at a target that is slower than usual by the
+    /// Adds the work done since the last check, at a target that is slower than normal by the
     /// factor `slowness`; returns when the attempt will end if the slowness stays the same.
     fn advance(&mut self, now: MicroTime, slowness: f64) -> MicroTime {
-        self.done_us += now.since(self.checked).0 as f64 / slowness;
-        self.checked = now;
-        let left_us = (self.work_us - self.done_us).max(0.0) * slowness;
-        now + MicroTime(left_us as u64)
+        self.done_us += now.since(self.checked_at).0 as f64 / slowness;
+        self.checked_at = now;
+        let remaining_us = (self.work_us - self.done_us).max(0.0) * slowness;
+        now + MicroTime(remaining_us as u64)
     }
 
-    /// Returns whether the attempt takes longer than usual, for whatever reason.
+    /// Returns whether the attempt has taken much longer than the average, for whatever reason.
     fn is_overdue(&self, now: MicroTime) -> bool {
         let overdue_time = MicroTime((self.work_us * OVERDUE_FACTOR) as u64).max(MIN_OVERDUE_TIME);
-        now.since(self.started) > overdue_time
+        now.since(self.started_at) > overdue_time
     }
 }
 
@@ -154,7 +155,7 @@
     let second = duty.choose(call, tried)?;
     tried.push(second.name.clone());
     duty.metrics.retries.with_label_values(&["hedge"]).inc();
-    info!(duty.logger, "hedged"; "id" => &*call.id, "target" => %second.name);
+    info!(duty.logger, "hedged"; "id" => &*call.request_id, "target" => %second.name);
     Some(second)
 }
 
--- a/src/call/entry/intake.rs
+++ b/src/call/entry/intake.rs
@@ -28,7 +28,7 @@
 /// Retry delay while the daemon or the service is not ready, in milliseconds.
 pub(crate) const NOT_READY_RETRY_MS: u32 = 500;
 
-/// Longest body of a routed call if the configuration sets no limit, in bytes.
+/// Maximum size of the body of a routed call if the configuration sets no limit, in bytes.
 const DEFAULT_MAX_BODY: u64 = 64 << 20;
 
 /// Account name of calls without an account.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerCall {
     /// Request id that the caller set, or empty.
-    pub(crate) id: Arc<str>,
+    pub(crate) request_id: Arc<str>,
     /// Digest of the request; the same whenever and wherever the request is sent again.
     pub(crate) digest: RequestDigest,
     pub(crate) service: ServiceName,
@@ -51,7 +51,7 @@
     pub(crate) path: String,
     pub(crate) headers: headers::HeaderList,
     pub(crate) body: Bytes,
-    pub(crate) arrived: MicroTime,
+    pub(crate) arrived_at: MicroTime,
     pub(crate) deadline: MicroTime,
     /// Claim of the idempotency key, for a call that must not run twice.
     pub(crate) claim: Option<KeyClaim>,
@@ -60,7 +60,7 @@
 impl CallerCall {
     /// Returns the time by which an answer meets the latency objective.
     pub(crate) fn objective(&self) -> MicroTime {
-        self.arrived + MicroTime::from_millis(u64::from(self.options.objective_ms))
+        self.arrived_at + MicroTime::from_millis(u64::from(self.options.objective_ms))
     }
 }
 
@@ -72,17 +72,17 @@
 pub(crate) async fn receive(
     duty: &EntryDuty,
     request: Request<Incoming>,
-    id: &Arc<str>,
+    request_id: &Arc<str>,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let arrived = duty.clock.now();
+    let arrived_at = duty.clock.now();
     let (parts, body) = request.into_parts();
     let config = duty.config().ok_or_else(|| {
         responses::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_ready", NOT_READY_RETRY_MS)
     })?;
-    if duty.names.railspan_headers {
-        receive_account_call(duty, &config, arrived, &parts, body).await
+    if duty.header_names.railspan_headers {
+        receive_account_call(duty, &config, arrived_at, &parts, body).await
     } else {
-        receive_routed_call(duty, &config, arrived, &parts, body, id).await
+        receive_routed_call(duty, &config, arrived_at, &parts, body, request_id).await
     }
 }
 
@@ -90,12 +90,12 @@
 async fn receive_routed_call(
     duty: &EntryDuty,
     config: &FleetConfig,
-    arrived: MicroTime,
+    arrived_at: MicroTime,
     parts: &Parts,
     body: Incoming,
-    id: &Arc<str>,
+    request_id: &Arc<str>,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let names = duty.names;
+    let names = duty.header_names;
     let host = headers::get_str(&parts.headers, "host");
     let host = host.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str));
     let route = config.route(host.unwrap_or_default(), parts.uri.path());
@@ -116,17 +116,17 @@
     if let (Some(name), Some(service)) = (names.caller_service, &duty.own_service) {
         forwarded.push((name.to_owned(), service.as_str().as_bytes().to_vec()));
     }
-    let deadline = arrived + MicroTime::from_millis(u64::from(options.deadline_ms));
+    let deadline = arrived_at + MicroTime::from_millis(u64::from(options.deadline_ms));
     let limit = config.limits.body_bytes.unwrap_or(DEFAULT_MAX_BODY);
     let service = route.choose_service(&mut duty.rng.borrow_mut()).clone();
     let body = read_body(body, &parts.headers, limit as usize).await?;
     if let Some(account) = account {
-        duty.admit(account, id).await?;
+        duty.admit(account, request_id).await?;
     }
     let account_name = account.map_or(NO_ACCOUNT, |account| account.name.as_str());
     let host = host.unwrap_or_default().to_ascii_lowercase();
     Ok(CallerCall {
-        id: Arc::clone(id),
+        request_id: Arc::clone(request_id),
         digest: digest_request(
             account_name,
             &host,
@@ -143,7 +143,7 @@
         path: path_and_query(parts).to_owned(),
         headers: forwarded,
         body,
-        arrived,
+        arrived_at,
         deadline,
         claim: None,
     })
@@ -153,25 +153,25 @@
 async fn receive_account_call(
     duty: &EntryDuty,
     config: &FleetConfig,
-    arrived: MicroTime,
+    arrived_at: MicroTime,
     parts: &Parts,
     body: Incoming,
 ) -> Result<CallerCall, Response<ResponseBody>> {
-    let refuse = |status, reason| responses::not_run(status, reason, 0);
+    let reject = |status, reason| responses::not_run(status, reason, 0);
     let account = bearer_token(&parts.headers).and_then(|token| config.account(token));
-    let account = account.ok_or_else(|| refuse(StatusCode::UNAUTHORIZED, "no_account"))?;
+    let account = account.ok_or_else(|| reject(StatusCode::UNAUTHORIZED, "no_account"))?;
     let (service, path) = split_path(path_and_query(parts));
     let service = config.service(service);
-    let service = service.ok_or_else(|| refuse(StatusCode::NOT_FOUND, "no_service"))?;
+    let service = service.ok_or_else(|| reject(StatusCode::NOT_FOUND, "no_service"))?;
     let options = config.call_options(service, account, parts.method.as_str(), &path);
     let deadline_ms = parse_deadline(&parts.headers, options.deadline_ms)
-        .ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "bad_deadline"))?;
-    let deadline = arrived + MicroTime::from_millis(u64::from(deadline_ms));
+        .ok_or_else(|| reject(StatusCode::BAD_REQUEST, "bad_deadline"))?;
+    let deadline = arrived_at + MicroTime::from_millis(u64::from(deadline_ms));
     let body = read_body(body, &parts.headers, MAX_REQUEST_BODY).await?;
     duty.admit(account, "").await?;
     let (account_name, service_name) = (account.name.as_str(), service.name.as_str());
     let mut call = CallerCall {
-        id: Arc::from(""),
+        request_id: Arc::from(""),
         digest: digest_request(account_name, service_name, parts.method.as_str(), &path, &body),
         service: service.name.clone(),
         account: account.name.clone(),
@@ -180,15 +180,15 @@
         options,
         method: parts.method.to_string(),
         path,
-        headers: headers::forward_request_headers(&parts.headers, duty.names),
+        headers: headers::forward_request_headers(&parts.headers, duty.header_names),
         body,
-        arrived,
+        arrived_at,
         deadline,
         claim: None,
     };
     if !call.options.repeatable {
         let key = idempotency_key(&parts.headers);
-        let key = key.ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "no_idempotency_key"))?;
+        let key = key.ok_or_else(|| reject(StatusCode::BAD_REQUEST, "no_idempotency_key"))?;
         call.claim = Some(make_claim(&call, key));
     }
     Ok(call)
@@ -257,7 +257,7 @@
     headers: &HeaderMap,
     limit: usize,
 ) -> Result<Bytes, Response<ResponseBody>> {
-    let refuse = |status, reason| {
+    let reject = |status, reason| {
         let mut response = responses::not_run(status, reason, 0);
         // The rest of the body is not read, so the connection can't be used again.
         let close = http::HeaderValue::from_static("close");
@@ -267,15 +267,15 @@
     let length = headers::get_str(headers, "content-length");
     let length = length.and_then(|text| text.parse::<usize>().ok());
     if length.is_some_and(|length| length > limit) {
-        return Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
+        return Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
     }
     match timeout(SENDER_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"))
+            Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"))
         }
-        Ok(Err(_broken)) => Err(refuse(StatusCode::BAD_REQUEST, "body_broken")),
-        Err(_elapsed) => Err(refuse(StatusCode::REQUEST_TIMEOUT, "body_too_slow")),
+        Ok(Err(_broken)) => Err(reject(StatusCode::BAD_REQUEST, "body_broken")),
+        Err(_elapsed) => Err(reject(StatusCode::REQUEST_TIMEOUT, "body_too_slow")),
     }
 }
 
--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -62,18 +62,18 @@
     pub(crate) probe_socket: UdpSocket,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) hedge_budget: RefCell<RetryBudget>,
-    /// Budgets of the attempts that this daemon may add to the calls of each service.
+    /// Budgets of the further attempts that this daemon may make for the calls of each service.
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     retry_share: Cell<RetryShare>,
-    /// Largest number of serving daemons in any fleet view so far.
+    /// Maximum number of daemons that were up in any fleet view so far.
     max_fleet_size: Cell<usize>,
-    /// Granted quota of client accounts.
+    /// Quotas of client accounts: granted requests and pending requests for grants.
     quotas: EntryQuotas,
-    /// Selects which of an account's quota holders this entry asks first.
+    /// Number that selects which of an account's quota holders this entry asks first.
     holder_offset: usize,
     /// Requests that are suspected of crashing targets.
     pub(crate) suspects: RefCell<CrashSuspects>,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     data_centre: CentreName,
     /// Cost of sending 1000 bytes between data centres, as a fraction of one call's
     /// benefit.
@@ -89,7 +89,7 @@
     /// Whether callers are asked to use another daemon.
     withdrawn: Cell<bool>,
     active: RefCell<Option<ActiveRevision>>,
-    /// Oldest revision that calls may be served by; `None` until the peers were asked.
+    /// Oldest revision that calls may be served with; `None` until the daemon has joined.
     least_revision: RefCell<Option<u64>>,
     /// Number of open connections from callers.
     caller_connections: watch::Sender<usize>,
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub(crate) struct EntryParts {
     pub(crate) seed: u64,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     pub(crate) data_centre: CentreName,
     pub(crate) crossing_cost: f64,
     pub(crate) own_service: Option<ServiceName>,
@@ -114,7 +114,7 @@
     pub(crate) probe_socket: std::net::UdpSocket,
 }
 
-/// Runs the entry duty until the runtime of its thread ends.
+/// Runs the duty until its runtime ends.
 pub(crate) async fn run(
     parts: EntryParts,
     mut inbox: RingInbox<EntryEvent>,
@@ -141,7 +141,7 @@
         quotas: EntryQuotas::default(),
         holder_offset: parts.seed as usize,
         suspects: RefCell::default(),
-        names: parts.names,
+        header_names: parts.header_names,
         data_centre: parts.data_centre,
         crossing_cost: parts.crossing_cost,
         route_stats: RefCell::default(),
@@ -234,7 +234,7 @@
     }
 
     /// Returns the configuration, or `None` while there is none that calls may be served
-    /// by.
+    /// with.
     pub(crate) fn config(&self) -> Option<Arc<FleetConfig>> {
         let active = self.active.borrow();
         let active = active.as_ref()?;
@@ -242,7 +242,7 @@
         (active.head.revision >= least).then(|| Arc::clone(&active.config))
     }
 
-    /// Returns the factor by which a target's host is slower than usual now.
+    /// Returns the factor by which a target's host is slower than normal now.
     pub(crate) fn slowness_of(&self, service: &ServiceName, target: &TargetName) -> f64 {
         let mut registry = self.registry.borrow_mut();
         let record = registry.find(service, target);
--- a/src/call/entry/quota.rs
+++ b/src/call/entry/quota.rs
@@ -20,11 +20,11 @@
 };
 use crate::rules::account::AccountParameters;
 
-/// Longest wait for a holder's reply; then the next holder is asked.
+/// Maximum wait for a holder's reply; then the next holder is asked.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Time for which a holder that did not reply is asked after all others.
-const UNRESPONSIVE_PERIOD: MicroTime = MicroTime::from_millis(1_000);
+const UNRESPONSIVE_DURATION: MicroTime = MicroTime::from_millis(1_000);
 
 /// Retry delay if no holder can be reached, in milliseconds.
 const UNREACHABLE_RETRY_MS: u32 = 300;
@@ -84,24 +84,28 @@
     pub(super) async fn admit(
         &self,
         account: &AccountParameters,
-        id: &str,
+        request_id: &str,
     ) -> Result<(), Response<ResponseBody>> {
         let Some(quota) = account.quota else { return Ok(()) };
-        let want = match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
-            QuotaDecision::Admit => return Ok(()),
-            QuotaDecision::Refuse(wait_ms) => return Err(self.over_quota(account, id, wait_ms)),
-            QuotaDecision::AskHolder(want) => want,
-        };
-        match self.ask_holders(&account.name, quota, want).await {
+        let requested =
+            match self.with_credit(&account.name, |credit| credit.decide(self.clock.now())) {
+                QuotaDecision::Admit => return Ok(()),
+                QuotaDecision::Refuse(wait_ms) => {
+                    return Err(self.over_quota(account, request_id, wait_ms));
+                }
+                QuotaDecision::AskHolder(requested) => requested,
+            };
+        match self.request_grant(&account.name, quota, requested).await {
             QuotaResult::Granted => Ok(()),
             QuotaResult::Exhausted(wait_ms) => {
                 self.with_credit(&account.name, |credit| {
                     credit.mark_exhausted(self.clock.now(), wait_ms);
                 });
-                Err(self.over_quota(account, id, wait_ms))
+                Err(self.over_quota(account, request_id, wait_ms))
             }
             QuotaResult::Unreachable => {
-                info!(self.logger, "quota holders unreachable"; "id" => id, "account" => %account.name);
+                info!(self.logger, "quota holders unreachable"; "id" => request_id,
+                    "account" => %account.name);
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 Err(responses::not_run(status, "quota_unreached", UNREACHABLE_RETRY_MS))
             }
@@ -111,10 +115,10 @@
     fn over_quota(
         &self,
         account: &AccountParameters,
-        id: &str,
+        request_id: &str,
         wait_ms: u32,
     ) -> Response<ResponseBody> {
-        info!(self.logger, "over quota"; "id" => id, "account" => %account.name,
+        info!(self.logger, "over quota"; "id" => request_id, "account" => %account.name,
             "wait_ms" => wait_ms);
         responses::not_run(StatusCode::TOO_MANY_REQUESTS, "over_quota", wait_ms)
     }
@@ -126,23 +130,25 @@
     }
 
     /// Asks the holders one after the other until one grants at least one request.
-    async fn ask_holders(
+    async fn request_grant(
         &self,
         account: &AccountName,
         quota: AccountQuota,
-        want: u16,
+        requested: u16,
     ) -> QuotaResult {
         let mut result = QuotaResult::Unreachable;
         for (host, address) in self.holders(account, quota) {
-            let sent = self.clock.now();
-            let Some(reply) = self.ask_holder(address, account, want).await else {
+            let requested_at = self.clock.now();
+            let Some(reply) = self.request_grant_from(address, account, requested).await else {
                 self.quotas.unresponsive.borrow_mut().insert(host, self.clock.now());
                 continue;
             };
             self.quotas.unresponsive.borrow_mut().remove(&host);
             if reply.granted > 0 {
-                // One granted request is the present one, the rest are for later ones.
-                self.with_credit(account, |credit| credit.add_grant(sent, reply.granted - 1));
+                // One granted request is the current one, the rest are for later ones.
+                self.with_credit(account, |credit| {
+                    credit.add_grant(requested_at, reply.granted - 1);
+                });
                 return QuotaResult::Granted;
             }
             result = match (result, reply.wait_ms) {
@@ -175,23 +181,23 @@
         let now = self.clock.now();
         let unresponsive = self.quotas.unresponsive.borrow();
         holders.sort_by_key(|(host, _)| {
-            unresponsive.get(host).is_some_and(|since| now.since(*since) < UNRESPONSIVE_PERIOD)
+            unresponsive.get(host).is_some_and(|since| now.since(*since) < UNRESPONSIVE_DURATION)
         });
         holders
     }
 
-    /// Requests a grant of `want` requests from a holder; returns `None` if it doesn't reply in
-    /// time.
-    async fn ask_holder(
+    /// Requests a grant of `requested` requests from a holder; returns `None` if it doesn't reply
+    /// in time.
+    async fn request_grant_from(
         &self,
         address: SocketAddr,
         account: &AccountName,
-        want: u16,
+        requested: u16,
     ) -> Option<QuotaReply> {
         let number = self.quotas.next_number.get();
         self.quotas.next_number.set(number + 1);
         let settled = self.clock.now() >= self.quotas.terms.get().window + GRANT_LIFETIME;
-        let request = QuotaRequest { number, account: account.clone(), want, settled };
+        let request = QuotaRequest { number, account: account.clone(), want: requested, settled };
         let bytes = wire::encode(&GuardDatagram::Quota(request)).ok()?;
         let (sender, receiver) = oneshot::channel();
         self.quotas.pending.borrow_mut().insert(number, sender);
--- a/src/call/entry/route_stats.rs
+++ b/src/call/entry/route_stats.rs
@@ -9,7 +9,7 @@
 /// Weight of the newest call in the moving averages of its route.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Largest number of routes that are tracked; an operator has some hundreds.
+/// Maximum number of routes that are tracked; an operator has some hundreds.
 const MAX_ROUTES: usize = 4_096;
 
 /// Assumed work time of an unknown route, as a fraction of its latency objective: operators
@@ -22,7 +22,7 @@
 /// Moving averages of one route.
 #[derive(Clone, Copy, Debug)]
 struct RouteAverages {
-    /// Work time at a target of usual speed, in microseconds.
+    /// Work time at a target of normal speed, in microseconds.
     work_us: f64,
     /// Size of a request and its response without heads, in bytes.
     bytes: f64,
@@ -35,7 +35,7 @@
 }
 
 impl RouteStats {
-    /// Records an answered call: its work time at the usual speed of its target in microseconds,
+    /// Records an answered call: its work time at the normal speed of its target in microseconds,
     /// and its size in bytes without heads.
     pub(crate) fn record(&mut self, route: &str, work_us: u32, bytes: u64) {
         let newest = RouteAverages { work_us: f64::from(work_us), bytes: bytes as f64 };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the usual work time of a call's route, in microseconds.
+    /// Returns the average work time of a call's route, in microseconds.
     ///
     /// The work time of an unknown route, as after a restart, is derived from its objective.
     pub(crate) fn work_us(&self, options: &CallOptions) -> f64 {
@@ -63,19 +63,19 @@
 
     /// Returns the estimate of a call by which its target is chosen.
     ///
-    /// `left` is the time left until its objective, `crossing_cost` the cost of sending 1000
+    /// `remaining` is the time left until its objective, `crossing_cost` the cost of sending 1000
     /// bytes between data centres, as a fraction of one call's benefit.
     pub(crate) fn estimate(
         &self,
         options: &CallOptions,
-        left: MicroTime,
+        remaining: MicroTime,
         crossing_cost: f64,
     ) -> CallEstimate {
         let known = self.routes.get(&options.kind);
         let bytes = known.map_or(0.0, |known| known.bytes) + HEAD_BYTES;
         CallEstimate {
             work_us: known.map_or_else(|| default_work_us(options), |known| known.work_us),
-            objective_us: left.0 as f64,
+            objective_us: remaining.0 as f64,
             crossing_cost: crossing_cost * bytes / 1_000.0,
         }
     }
--- a/src/call/entry/routing.rs
+++ b/src/call/entry/routing.rs
@@ -64,47 +64,55 @@
             load_probe::probe_random_target(self, &call.service);
             self.log_choice(&call, &chosen);
             tried.push(chosen.name.clone());
-            let last = attempts.is_last_attempt() || chosen.untried == 0;
-            let (result, cause) =
-                match hedge::run(self, &call, &chosen, &mut attempts, last, &mut tried).await {
-                    AttemptEnd::Answered(response) if response.status().is_server_error() => {
+            let last_target = attempts.is_last_attempt() || chosen.untried == 0;
+            let (result, cause) = match hedge::run(
+                self,
+                &call,
+                &chosen,
+                &mut attempts,
+                last_target,
+                &mut tried,
+            )
+            .await
+            {
+                AttemptEnd::Answered(response) if response.status().is_server_error() => {
+                    unusable.push(chosen.name);
+                    failure = Some(response);
+                    (AttemptResult::Failed, "failed")
+                }
+                AttemptEnd::Answered(response) => {
+                    self.with_retry_budget(&call.service, |budget| {
+                        attempts.record(AttemptResult::Answered, true, budget)
+                    });
+                    self.hedge_budget.borrow_mut().record_success();
+                    return response;
+                }
+                AttemptEnd::Refused { reason, retry_after_ms } => {
+                    refusal = (reason.label(), retry_after_ms);
+                    // A full or slow target may be chosen again for the last attempt:
+                    // its queue may be the shortest, and a slow period is over by then
+                    // or the call waits for its end.
+                    if !matches!(reason, RefusalReason::Full | RefusalReason::Slow) {
                         unusable.push(chosen.name);
-                        failure = Some(response);
-                        (AttemptResult::Failed, "failed")
                     }
-                    AttemptEnd::Answered(response) => {
-                        self.with_retry_budget(&call.service, |budget| {
-                            attempts.record(AttemptResult::Answered, true, budget)
-                        });
-                        self.hedge_budget.borrow_mut().record_success();
+                    let declined = reason == RefusalReason::Declined;
+                    let result =
+                        if declined { AttemptResult::Declined } else { AttemptResult::Refused };
+                    (result, reason.label())
+                }
+                AttemptEnd::Lost => {
+                    unusable.push(chosen.name);
+                    (AttemptResult::Lost, "lost")
+                }
+                AttemptEnd::Claimed { row, version } => {
+                    if let Some(response) = self.resolve_claim(&call, &row).await {
                         return response;
                     }
-                    AttemptEnd::Refused { reason, retry_after_ms } => {
-                        refusal = (reason.label(), retry_after_ms);
-                        // A full or slow target may be chosen again for the last attempt:
-                        // its queue may be the shortest, and a slow period is over by then
-                        // or the call waits for its end.
-                        if !matches!(reason, RefusalReason::Full | RefusalReason::Slow) {
-                            unusable.push(chosen.name);
-                        }
-                        let declined = reason == RefusalReason::Declined;
-                        let result =
-                            if declined { AttemptResult::Declined } else { AttemptResult::Refused };
-                        (result, reason.label())
-                    }
-                    AttemptEnd::Lost => {
-                        unusable.push(chosen.name);
-                        (AttemptResult::Lost, "lost")
-                    }
-                    AttemptEnd::Claimed { row, version } => {
-                        if let Some(response) = self.resolve_claim(&call, &row).await {
-                            return response;
-                        }
-                        take_over_claim(&mut call, version);
-                        tried.clear();
-                        (AttemptResult::TakeOver, "take_over")
-                    }
-                };
+                    take_over_claim(&mut call, version);
+                    tried.clear();
+                    (AttemptResult::TakeOver, "take_over")
+                }
+            };
             let in_time = self.clock.now() < call.deadline;
             let next = self.with_retry_budget(&call.service, |budget| {
                 attempts.record(result, in_time, budget)
@@ -115,7 +123,7 @@
             if next != RetryDecision::Retry {
                 return failure.unwrap_or_else(|| final_response(next, refusal));
             }
-            info!(self.logger, "retrying"; "id" => &*call.id, "cause" => cause);
+            info!(self.logger, "retrying"; "id" => &*call.request_id, "cause" => cause);
             self.metrics.retries.with_label_values(&[cause]).inc();
         }
     }
@@ -128,9 +136,9 @@
         let mut registry = self.registry.borrow_mut();
         let targets = registry.services.get_mut(&call.service)?;
         let now = self.clock.now();
-        let left = call.objective().since(now);
+        let remaining = call.objective().since(now);
         let stats = self.route_stats.borrow();
-        let estimate = stats.estimate(&call.options, left, self.crossing_cost);
+        let estimate = stats.estimate(&call.options, remaining, self.crossing_cost);
         let mut rng = self.rng.borrow_mut();
         let suspect = self.suspects.borrow().record(call.digest);
         let is_suspected = suspect.is_suspected();
@@ -157,8 +165,8 @@
     pub(crate) fn can_be_in_time(&self, call: &CallerCall, tried: &[TargetName]) -> bool {
         let now = self.clock.now();
         let stats = self.route_stats.borrow();
-        let left = call.objective().since(now);
-        let mut estimate = stats.estimate(&call.options, left, self.crossing_cost);
+        let remaining = call.objective().since(now);
+        let mut estimate = stats.estimate(&call.options, remaining, self.crossing_cost);
         if !stats.knows(&call.options.kind) {
             // An assumed work time is no reason to keep a read waiting at a target that hangs;
             // with zero, the service times that the targets report are used instead.
@@ -173,12 +181,14 @@
     fn log_choice(&self, call: &CallerCall, chosen: &ChosenTarget) {
         let revision = self.active.borrow().as_ref().map_or(0, |active| active.head.revision);
         let load = chosen.load;
-        info!(self.logger, "chosen"; "id" => &*call.id, "digest" => %call.digest, "route" => &*call.options.kind, "worth" => call.options.priority.worth,
+        info!(self.logger, "chosen"; "id" => &*call.request_id, "digest" => %call.digest,
+            "route" => &*call.options.kind, "worth" => call.options.priority.worth,
             "objective_ms" => call.options.objective_ms, "service" => %call.service,
             "target" => %chosen.name, "at" => %chosen.location.host, "revision" => revision,
             "in_flight" => load.in_flight, "queued" => load.queued, "slots" => load.slots,
             "service_us" => load.service_us, "slowness" => load.slowness,
-            "load_age_us" => chosen.load_age.0, "left_us" => call.deadline.since(self.clock.now()).0);
+            "load_age_us" => chosen.load_age.0,
+            "left_us" => call.deadline.since(self.clock.now()).0);
     }
 
     /// Determines the outcome of an earlier call with the same idempotency key.
--- a/src/call/guard/crash_detection.rs
+++ b/src/call/guard/crash_detection.rs
@@ -1,5 +1,5 @@
 //! Detection of requests that crash targets: records which requests ran on a target that
-//! ended, and checks each call for suspicion right before it starts.
+//! ended, and checks the crash record of each call's request right before the call starts.
 //!
 //! A lost connection doesn't prove that a target ended: the target may have closed only
 //! that connection, or be stalled. Proof is that nothing listens at its address any more,
@@ -34,7 +34,7 @@
 
 /// Maximum number of liveness checks; together they take longer than a target is likely
 /// to stall.
-const MAX_CHECKS: u32 = 30;
+const MAX_LIVENESS_CHECKS: u32 = 30;
 
 /// Maximum number of digests in one log line.
 const MAX_LOGGED_DIGESTS: usize = 8;
@@ -56,8 +56,8 @@
         self.suspects.borrow().record(digest)
     }
 
-    /// Waits until a suspected call may run on its target; returns the lock that it holds
-    /// meanwhile, or `None` if it needs none.
+    /// Waits until a call may run on its target; returns the lock that it holds meanwhile, or
+    /// `None` if it needs none.
     ///
     /// Calls whose requests are suspected of several crashes run one at a time, so that the next
     /// crash identifies the request at fault.
@@ -72,8 +72,11 @@
         if !self.suspect_record(call.digest).runs_alone() {
             return Ok(None);
         }
-        let mutex =
-            self.targets.borrow().get(&call.key).map(|target| Arc::clone(&target.exclusive_run));
+        let mutex = self
+            .targets
+            .borrow()
+            .get(&call.target_key)
+            .map(|target| Arc::clone(&target.exclusive_run));
         let Some(mutex) = mutex else { return Err(RefusalReason::Absent) };
         let remaining = call.queue_deadline.min(call.deadline).since(self.clock.now()).duration();
         let lock = timeout(remaining, mutex.lock_owned()).await;
@@ -90,10 +93,10 @@
         if record_at_start.is_blamed() {
             return Err(RefusalReason::EndsTargets);
         }
-        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.target_key) {
             target
                 .running_requests
-                .start(call.call, TrackedRequest { digest: call.digest, record_at_start });
+                .start(call.call_id, TrackedRequest { digest: call.digest, record_at_start });
         }
         Ok(())
     }
@@ -101,18 +104,19 @@
     /// Records how a run ended; an answer from the target clears the request of suspicion.
     pub(super) fn end_run(&self, call: &ServedCall, outcome: RunOutcome) {
         let now = self.clock.now();
-        if let Some(target) = self.targets.borrow_mut().get_mut(&call.key) {
+        if let Some(target) = self.targets.borrow_mut().get_mut(&call.target_key) {
             match outcome {
                 RunOutcome::Answered | RunOutcome::NotRun => {
-                    target.running_requests.finish(call.call);
+                    target.running_requests.finish(call.call_id);
                 }
-                RunOutcome::Unanswered => target.running_requests.abandon(now, call.call),
+                RunOutcome::Unanswered => target.running_requests.abandon(now, call.call_id),
             }
         }
         let record = self.suspect_record(call.digest);
         if outcome == RunOutcome::Answered && record.is_suspected() {
             let record = record.after_clearance();
-            info!(self.logger, "request cleared"; "id" => &*call.id, "digest" => %call.digest);
+            info!(self.logger, "request cleared"; "id" => &*call.request_id,
+                "digest" => %call.digest);
             self.publish_suspects(vec![SuspectUpdate { digest: call.digest, record }]);
         }
     }
@@ -140,7 +144,7 @@
         target.crash_check = Some(crash_check.clone());
         let (duty, key) = (Rc::clone(self), key.clone());
         spawn_local(async move {
-            for _ in 0..MAX_CHECKS {
+            for _ in 0..MAX_LIVENESS_CHECKS {
                 match health::check_liveness(&duty, &key).await {
                     TargetLiveness::Running => break,
                     TargetLiveness::Ended => {
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -55,26 +55,26 @@
 use crate::store::table::TableWrite;
 
 /// Interval between checks of leases, deadlines, load changes and stale health reports.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Retry delay for calls that the guard refuses without an estimate of the wait, such as those
 /// to a target that is leaving or gone, in milliseconds.
 pub(crate) const UNAVAILABLE_RETRY_MS: u32 = 200;
 
-/// Ring buffers to the duties that the guard sends events to.
+/// Senders to the duties that the guard sends events to.
 #[derive(Debug)]
 pub(crate) struct GuardRings {
     pub(crate) peers: RingSender<PeersEvent>,
     pub(crate) platform: RingSender<PlatformEvent>,
 }
 
-/// Settings and sockets that the guard duty starts with.
+/// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct GuardParts {
     pub(crate) host: HostName,
     pub(crate) data_centre: CentreName,
     pub(crate) incarnation: DaemonIncarnation,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     /// Service of the host's target, if the settings name one.
     pub(crate) own_service: Option<ServiceName>,
     /// Address of the host's target, if the settings name one.
@@ -96,7 +96,7 @@
 /// refusal and the retry delay in milliseconds.
 pub(crate) type AdmissionDecision = Result<(), (RefusalReason, u32)>;
 
-/// State of the guard duty.
+/// State that the tasks of the guard duty share.
 pub(crate) struct GuardDuty {
     pub(crate) clock: ProcessClock,
     pub(crate) host: HostName,
@@ -105,7 +105,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) targets: RefCell<HashMap<(ServiceName, TargetName), LocalTarget>>,
     /// Targets that ended, the most recent last; their late heartbeats are ignored.
-    pub(crate) ended: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
+    pub(crate) ended_targets: RefCell<VecDeque<(TargetName, TargetIncarnation)>>,
     pub(crate) ledger: RefCell<CallLedger>,
     /// Channels for the admission decisions, by waiting call.
     pub(crate) waiters: RefCell<HashMap<CallId, oneshot::Sender<AdmissionDecision>>>,
@@ -115,15 +115,15 @@
     open_streams: watch::Sender<usize>,
     pub(crate) stopping: watch::Sender<bool>,
     pub(crate) connections: Rc<TargetConnections>,
-    pub(crate) names: &'static HeaderNames,
+    pub(crate) header_names: &'static HeaderNames,
     own_service: Option<ServiceName>,
-    /// Active configuration; `None` until the first one arrives.
+    /// Configuration in force; `None` until the first one arrives.
     pub(crate) config: RefCell<Option<Arc<FleetConfig>>>,
     pub(crate) target_lease: Cell<Duration>,
     pub(crate) cold_terms: Cell<ColdTerms>,
     /// Parts of account quotas that this daemon holds.
     quotas: GuardQuotas,
-    /// Whether the host's data centre is evacuated and takes no calls.
+    /// Whether the host's data centre is evacuated and accepts no calls.
     pub(crate) evacuated: Cell<bool>,
     pub(crate) max_body: usize,
     pub(crate) metrics: Arc<DaemonMetrics>,
@@ -133,7 +133,7 @@
     pub(crate) logger: Logger,
 }
 
-/// Runs the duty until the thread's runtime ends.
+/// Runs the duty until the runtime ends.
 pub(crate) async fn run(
     parts: GuardParts,
     mut inbox: RingInbox<GuardEvent>,
@@ -152,7 +152,7 @@
         incarnation: parts.incarnation,
         address: parts.address,
         targets: RefCell::default(),
-        ended: RefCell::default(),
+        ended_targets: RefCell::default(),
         ledger: RefCell::default(),
         waiters: RefCell::default(),
         suspects: RefCell::default(),
@@ -160,7 +160,7 @@
         stopping: watch::Sender::new(false),
         watchers: GuardWatchers::open(),
         connections: TargetConnections::open(clock),
-        names: parts.names,
+        header_names: parts.header_names,
         own_service: parts.own_service,
         config: RefCell::default(),
         target_lease: Cell::new(parts.target_lease),
@@ -174,7 +174,7 @@
     });
     duty.quotas.terms.set(parts.quota_terms);
     spawn_local(Rc::clone(&duty).accept(listener));
-    spawn_local(Rc::clone(&duty).answer_datagrams(socket));
+    spawn_local(Rc::clone(&duty).serve_datagrams(socket));
     spawn_local(Rc::clone(&duty).tick());
     if let (Some(service), Some(address)) = (duty.own_service.clone(), parts.own_target) {
         spawn_local(health::discover_target(Rc::clone(&duty), service, address));
@@ -262,7 +262,7 @@
     }
 
     async fn tick(self: Rc<Self>) {
-        let mut timer = tokio::time::interval(TICK);
+        let mut timer = tokio::time::interval(TICK_INTERVAL);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             timer.tick().await;
@@ -274,7 +274,7 @@
             self.execute_actions(actions);
             self.apply_leases();
             self.notify_watchers(now);
-            health::poll_stale_targets(&self, now);
+            health::check_stale_targets(&self, now);
         }
     }
 
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Updates the time that work takes at a target now, in percent of the usual time.
+    /// Updates the time that work takes at a target now, in percent of the normal time.
     pub(crate) fn update_slowness(&self, key: &(ServiceName, TargetName), percent: u16) {
         if let Some(target) = self.targets.borrow_mut().get_mut(key) {
             let now = self.clock.now();
@@ -361,13 +361,14 @@
         retry_after_ms: u32,
     ) -> AnswerHead {
         self.metrics.refusals.with_label_values(&[reason.label()]).inc();
-        let load = self.load(&call.key);
-        info!(self.logger, "call refused"; "id" => &*call.id, "target" => %call.key.1,
+        let load = self.load(&call.target_key);
+        info!(self.logger, "call refused"; "id" => &*call.request_id,
+            "target" => %call.target_key.1,
             "reason" => reason.label(), "retry_after_ms" => retry_after_ms,
             "running" => load.in_flight, "waiting" => load.queued, "limit" => load.slots,
             "slowness" => load.slowness);
         let suspect = self.suspect_record(call.digest);
-        AnswerHead::Refused { call: call.call, reason, retry_after_ms, load, suspect }
+        AnswerHead::Refused { call: call.call_id, reason, retry_after_ms, load, suspect }
     }
 
     /// Refuses new calls from now on and reports when all open streams have ended.
--- a/src/call/guard/target_lifecycle.rs
+++ b/src/call/guard/target_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Announcements, drains and ends of a guard's targets.
+//! Announcements, drains and ends of a guard's targets, and the leases that follow from them.
 //!
 //! Invariants: a target's queue is open only while its lease is ready; every change of
 //! readiness is published to the peers.
@@ -15,8 +15,8 @@
 use crate::duty::events::PeersEvent;
 use crate::duty::target_report::{TargetAnnouncement, TargetReport};
 
-/// Maximum number of ended targets to remember; a host has one target at a time.
-const MAX_ENDED: usize = 64;
+/// Maximum number of ended targets that are kept; a host has one target at a time.
+const MAX_ENDED_TARGETS: usize = 64;
 
 impl GuardDuty {
     /// Applies a report that a target, or the platform for it, sent to the daemon.
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns whether the active configuration contains a service; true while there is no
+    /// Returns whether the configuration in force contains a service; true while there is no
     /// configuration.
     fn is_configured(&self, service: &ServiceName) -> bool {
         self.config.borrow().as_ref().is_none_or(|config| config.has_service(service))
@@ -130,7 +130,7 @@
         started_at_ms: Option<u64>,
         sequence: Option<u64>,
     ) -> Option<TargetIncarnation> {
-        let mut ended = self.ended.borrow_mut();
+        let mut ended = self.ended_targets.borrow_mut();
         let index = ended.iter().position(|(ended, _)| ended == name);
         if let Some(index) = index {
             if ended[index].1.note_heartbeat(started_at_ms, sequence) != HeartbeatVerdict::Restarted
@@ -142,8 +142,8 @@
         Some(TargetIncarnation::open(started_at_ms, sequence.unwrap_or_default()))
     }
 
-    /// Ends a target's incarnation and remembers it, since earlier heartbeats may still
-    /// arrive late.
+    /// Ends a target's incarnation and records it, since earlier heartbeats may still arrive
+    /// late.
     ///
     /// The end of an earlier incarnation doesn't affect the current one.
     pub(crate) fn end_target(&self, name: &TargetName, started_at_ms: Option<u64>) {
@@ -160,19 +160,19 @@
             target.lease.mark_ended();
             self.connections.close_idle(target.announcement.address);
         }
-        // Also remembers the end of an unknown target.
+        // Also records the end of an unknown target.
         incarnation.end(started_at_ms);
-        let mut ended = self.ended.borrow_mut();
+        let mut ended = self.ended_targets.borrow_mut();
         ended.retain(|(other, _)| other != name);
         ended.push_back((name.clone(), incarnation));
-        if ended.len() > MAX_ENDED {
+        if ended.len() > MAX_ENDED_TARGETS {
             ended.pop_front();
         }
         drop(ended);
         self.apply_leases();
     }
 
-    /// Starts or ends an operator's drain; returns whether the target is known.
+    /// Starts or ends the drain of a target by an operator; returns whether the target is known.
     pub(crate) fn drain(&self, name: &TargetName, drained: bool) -> bool {
         let mut found = false;
         for target in self.targets.borrow_mut().values_mut() {
@@ -196,13 +196,13 @@
             let ready = target.lease.is_ready(now) && !stopping;
             changed |= ready != std::mem::replace(&mut target.advertised_ready, ready);
             let open = ready && !self.evacuated.get();
-            if open == target.queue.is_leaving() {
+            if open == target.queue.is_closed() {
                 info!(self.logger, "target state changed";
                     "name" => %target.announcement.target, "ready" => ready, "open" => open);
                 if open {
-                    target.queue.rejoin();
+                    target.queue.reopen();
                 } else {
-                    target.queue.leave(&mut actions);
+                    target.queue.close(&mut actions);
                 }
             }
         }
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -66,7 +66,7 @@
 /// Statistics of one concurrency level.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct LevelStats {
-    /// Largest number of running calls that belongs to the level.
+    /// Maximum number of running calls that belongs to the level.
     #[serde(rename = "most")]
     max_running: usize,
     /// Number of answers, with exponential decay.
@@ -115,7 +115,7 @@
     lowered: usize,
     #[serde(rename = "turn")]
     phase: TrialPhase,
-    /// Time at which the present phase began.
+    /// Time at which the current phase began.
     #[serde(rename = "turned")]
     phase_start: MicroTime,
     /// Time at which no level was left to try.
@@ -174,8 +174,8 @@
         self.levels[level].max_running
     }
 
-    /// Starts and ends trials; `has_waiting` tells whether calls wait for a slot, without
-    /// which no trial starts.
+    /// Starts and ends trials. No trial starts unless `has_waiting`, that is, unless calls wait
+    /// for a slot.
     pub fn advance(&mut self, now: MicroTime, has_waiting: bool) {
         let elapsed = now.since(self.phase_start);
         let may_start = has_waiting && elapsed >= TRIAL_INTERVAL;
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -1,4 +1,4 @@
-//! Requests of an account's quota that were granted to an entry in advance.
+//! Requests that were granted to an entry from an account's quota in advance.
 
 use std::collections::VecDeque;
 
@@ -12,14 +12,14 @@
 /// this long before it.
 pub const GRANT_LIFETIME: MicroTime = MicroTime::from_millis(100);
 
-/// Time whose expected requests an entry asks for at once.
+/// Time whose expected requests are included in one request for a grant.
 const PREFETCH_TIME: MicroTime = MicroTime::from_millis(50);
 
-/// Maximum number of requests that an entry asks for at once.
-const MAX_ASKED: u16 = 64;
+/// Maximum number of requests in one request for a grant.
+const MAX_REQUESTED: u16 = 64;
 
-/// Time for which an entry asks no holder after all of them had nothing left to grant.
-const EXHAUSTED_TIME: MicroTime = MicroTime::from_millis(20);
+/// Time for which an entry requests no grant after no holder had anything left to grant.
+const EXHAUSTED_DURATION: MicroTime = MicroTime::from_millis(20);
 
 /// Half-life of an entry's estimate of an account's request rate, in seconds.
 const RATE_HALF_LIFE_S: f64 = 0.5;
@@ -29,18 +29,18 @@
 pub enum QuotaDecision {
     /// Let the request through.
     Admit,
-    /// Ask a holder for this number of requests, the present one included.
+    /// Request a grant of this number of requests, the current one included.
     AskHolder(u16),
     /// Refuse the request; the caller may retry after this number of milliseconds.
     Refuse(u32),
 }
 
-/// Requests of an account's quota that were granted to an entry and are not used yet.
+/// Requests that were granted to an entry from an account's quota and are not used yet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuotaCredit {
     /// Expiry time of each grant and the requests left of it, oldest first.
     grants: VecDeque<(MicroTime, u16)>,
-    /// Time until which no holder is asked, since none had anything left to grant.
+    /// Time until which no grant is requested, since no holder had anything left to grant.
     #[serde(rename = "dry_until")]
     exhausted_until: MicroTime,
     /// Retry time returned to callers until then, in milliseconds.
@@ -67,13 +67,13 @@
             return QuotaDecision::Refuse(self.exhausted_wait_ms);
         }
         let expected = self.rate * PREFETCH_TIME.duration().as_secs_f64();
-        QuotaDecision::AskHolder((1 + expected as u16).min(MAX_ASKED))
+        QuotaDecision::AskHolder((1 + expected as u16).min(MAX_REQUESTED))
     }
 
-    /// Adds the requests that a holder granted; it was asked for them at `asked_at`.
-    pub fn add_grant(&mut self, asked_at: MicroTime, granted: u16) {
+    /// Adds the requests that a holder granted; the entry sent its request at `requested_at`.
+    pub fn add_grant(&mut self, requested_at: MicroTime, granted: u16) {
         if granted > 0 {
-            self.grants.push_back((asked_at + GRANT_LIFETIME, granted));
+            self.grants.push_back((requested_at + GRANT_LIFETIME, granted));
         }
     }
 
@@ -91,7 +91,7 @@
 
     /// Records that no holder has anything left to grant; callers may retry after `wait_ms`.
     pub fn mark_exhausted(&mut self, now: MicroTime, wait_ms: u32) {
-        self.exhausted_until = now + EXHAUSTED_TIME;
+        self.exhausted_until = now + EXHAUSTED_DURATION;
         self.exhausted_wait_ms = wait_ms;
     }
 }
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -10,10 +10,10 @@
 /// Maximum retry time returned to a refused caller.
 const MAX_WAIT: MicroTime = MicroTime::from_millis(2_000);
 
-/// Number of slots into which a window is divided.
-const SLOTS: u64 = 50;
+/// Number of buckets into which a window is divided.
+const BUCKETS: u64 = 50;
 
-/// Reply of a holder to an entry that asks for a grant.
+/// Result of an entry's request for a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// Number of requests that the entry may let through.
@@ -25,23 +25,25 @@
 /// One holder's part of an account's quota.
 ///
 /// Invariant: in no window more requests are used than the part permits. A new window counts
-/// as used up, since another holder may just have granted all of it. Once an entry asks that
-/// may have got those grants, they count as made when the window was opened; as long as only
-/// entries ask that have started since, they count as spread evenly over the window before.
+/// as used up, since another holder may just have granted all of it. Those grants count as
+/// spread evenly over the window before, as long as all requests come from entries that have
+/// started since. From the first request of an entry that may have got them, they count as made
+/// when the window was opened.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuotaWindow {
     /// Number of requests that the part permits in a window.
     limit: f64,
     /// Length of the window.
     span: MicroTime,
-    /// Time at which each slot leaves the window and the requests granted in it, oldest
+    /// Time at which each bucket leaves the window and the requests granted in it, oldest
     /// first.
-    slots: VecDeque<(MicroTime, f64)>,
-    /// Sum of the requests in `slots`.
+    #[serde(rename = "slots")]
+    buckets: VecDeque<(MicroTime, f64)>,
+    /// Sum of the requests in `buckets`.
     granted: f64,
     #[serde(rename = "opened")]
     opened_at: MicroTime,
-    /// Whether all entries that have asked so far had started within the last window.
+    /// Whether all requests so far came from entries that had started within the last window.
     #[serde(rename = "fresh")]
     only_new_entries: bool,
     /// Time up to which freed requests have been promised to refused callers.
@@ -54,12 +56,13 @@
     #[must_use]
     pub fn open(now: MicroTime, quota: AccountQuota, terms: QuotaTerms) -> Self {
         let limit = quota.per_window(terms) / quota.holders(terms) as f64;
-        let slot_length = terms.window.0 / SLOTS;
-        let slot = |number: u64| (now + MicroTime(slot_length * number), limit / SLOTS as f64);
+        let bucket_length = terms.window.0 / BUCKETS;
+        let bucket =
+            |number: u64| (now + MicroTime(bucket_length * number), limit / BUCKETS as f64);
         Self {
             limit,
             span: terms.window,
-            slots: (1..=SLOTS).map(slot).collect(),
+            buckets: (1..=BUCKETS).map(bucket).collect(),
             granted: limit,
             opened_at: now,
             only_new_entries: true,
@@ -75,7 +78,7 @@
         changed
     }
 
-    /// Grants up to `requested` requests to an entry; `settled` tells whether that entry has run
+    /// Grants up to `requested` requests to an entry; `settled` is true if that entry has run
     /// for at least a window.
     pub fn grant(&mut self, now: MicroTime, requested: u16, settled: bool) -> QuotaGrant {
         if settled {
@@ -103,37 +106,37 @@
             return;
         }
         let last = self.opened_at + self.span + GRANT_LIFETIME;
-        for (leaves, _) in &mut self.slots {
+        for (leaves, _) in &mut self.buckets {
             *leaves = (*leaves).max(last);
         }
     }
 
     fn record(&mut self, now: MicroTime, granted: f64) {
         self.granted += granted;
-        // A slot leaves the window together with the last request that may use its grants.
+        // A bucket leaves the window together with the last request that may use its grants.
         let earliest = now + self.span + GRANT_LIFETIME;
-        match self.slots.back_mut() {
+        match self.buckets.back_mut() {
             Some((leaves, count)) if *leaves >= earliest => *count += granted,
             _ => {
-                let leaves = earliest + MicroTime(self.span.0 / SLOTS);
-                self.slots.push_back((leaves, granted));
+                let leaves = earliest + MicroTime(self.span.0 / BUCKETS);
+                self.buckets.push_back((leaves, granted));
             }
         }
     }
 
-    /// Returns when the next slot leaves the window.
+    /// Returns when the next bucket leaves the window.
     fn next_expiry(&self, now: MicroTime) -> MicroTime {
-        self.slots.front().map_or(now, |(leaves, _)| *leaves)
+        self.buckets.front().map_or(now, |(leaves, _)| *leaves)
     }
 
-    /// Drops the slots that have left the window.
+    /// Drops the buckets that have left the window.
     fn drop_expired(&mut self, now: MicroTime) {
-        while let Some((leaves, count)) = self.slots.front().copied() {
+        while let Some((leaves, count)) = self.buckets.front().copied() {
             if leaves > now {
                 return;
             }
             self.granted = (self.granted - count).max(0.0);
-            self.slots.pop_front();
+            self.buckets.pop_front();
         }
         self.granted = 0.0;
     }
--- a/src/fleet/membership/dissemination.rs
+++ b/src/fleet/membership/dissemination.rs
@@ -16,39 +16,39 @@
 
 /// Number of pending updates from which a full exchange is cheaper than gossip: more than
 /// gossip carries in two periods.
-const BULK_SYNC_THRESHOLD: usize = 32;
+const BULK_EXCHANGE_THRESHOLD: usize = 32;
 
-/// Shortest time between two full exchanges that a daemon starts while it has that many
+/// Minimum time between two full exchanges that a daemon starts while it has that many
 /// pending updates.
 ///
 /// Each exchange at least doubles the number of members that a daemon knows: daemons that
 /// all start at once know each other after 6 s, with gossip alone only after 56 s.
-const BULK_SYNC_INTERVAL: MicroTime = MicroTime::from_millis(500);
+const BULK_EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(500);
 
 /// Mean number of daemons of one data centre that start a full exchange with another data
-/// centre in [`REMOTE_SYNC_INTERVAL`].
+/// centre in [`REMOTE_EXCHANGE_INTERVAL`].
 ///
 /// The other daemons of the data centre learn the records from them.
-const REMOTE_SYNCS_PER_INTERVAL: f64 = 8.0;
+const REMOTE_EXCHANGES_PER_INTERVAL: f64 = 8.0;
 
-/// Shortest time between two full exchanges of one daemon with other data centres.
+/// Minimum time between two full exchanges of one daemon with other data centres.
 ///
 /// Gossip carries new records across; an exchange only makes up for lost datagrams.
-const REMOTE_SYNC_INTERVAL: MicroTime = MicroTime::from_millis(15_000);
+const REMOTE_EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(15_000);
 
 /// Time for which the records of other data centres must differ before a full exchange
 /// with them: gossip has delivered the difference by then, or lost it.
-const REMOTE_SYNC_DELAY: MicroTime = MicroTime::from_millis(3_000);
+const REMOTE_EXCHANGE_DELAY: MicroTime = MicroTime::from_millis(3_000);
 
 /// Time from the start of a daemon to its first full exchange with another data centre.
 ///
 /// By then it has the records of its own data centre, and only the rest has to cross
 /// between data centres.
-pub(super) const FIRST_REMOTE_SYNC_DELAY: MicroTime = MicroTime::from_millis(3_000);
+pub(super) const FIRST_REMOTE_EXCHANGE_DELAY: MicroTime = MicroTime::from_millis(3_000);
 
-/// Shortest time between two full exchanges that a daemon starts; they take 0.3 kB/s per
+/// Minimum time between two full exchanges that a daemon starts; they take 0.3 kB/s per
 /// daemon while the fleet does not change.
-const SYNC_INTERVAL: MicroTime = MicroTime::from_millis(5_000);
+const EXCHANGE_INTERVAL: MicroTime = MicroTime::from_millis(5_000);
 
 /// Number of other daemons up to which notices go to all of them instead of a sample.
 ///
@@ -89,9 +89,9 @@
 
     /// Starts a full exchange with a daemon whose records differ.
     ///
-    /// Does nothing if an exchange was made lately or gossip is enough to deliver the
+    /// Does nothing if an exchange was made recently or gossip is enough to deliver the
     /// difference.
-    pub(super) fn sync_with(
+    pub(super) fn start_exchange_with(
         &mut self,
         now: MicroTime,
         host: &HostName,
@@ -100,33 +100,33 @@
     ) {
         let Some(known) = self.members.get(host) else { return };
         let pending = self.updates_left();
-        let is_bulk = pending >= BULK_SYNC_THRESHOLD;
-        if now < self.next_sync || !(is_bulk || pending == 0) {
+        let is_bulk = pending >= BULK_EXCHANGE_THRESHOLD;
+        if now < self.next_exchange || !(is_bulk || pending == 0) {
             return;
         }
-        let is_local = known.record.is_in(&self.own.data_centre);
+        let is_local = known.record.is_in(&self.own_record.data_centre);
         if !is_local {
             let differs_since = *self.remote_differs_since.get_or_insert(now);
-            if now < self.next_remote_sync || now.since(differs_since) < REMOTE_SYNC_DELAY {
+            if now < self.next_remote_exchange || now.since(differs_since) < REMOTE_EXCHANGE_DELAY {
                 return;
             }
-            self.next_remote_sync = now + REMOTE_SYNC_INTERVAL;
-            let probability = REMOTE_SYNCS_PER_INTERVAL / self.local_size() as f64;
+            self.next_remote_exchange = now + REMOTE_EXCHANGE_INTERVAL;
+            let probability = REMOTE_EXCHANGES_PER_INTERVAL / self.local_size() as f64;
             if !rng.random_bool(probability.min(1.0)) {
                 return;
             }
         }
-        self.next_sync = now + if is_bulk { BULK_SYNC_INTERVAL } else { SYNC_INTERVAL };
+        self.next_exchange = now + if is_bulk { BULK_EXCHANGE_INTERVAL } else { EXCHANGE_INTERVAL };
         // The advertised address is used: the source address of the datagram may be translated
         // (NAT).
         out.push(MembershipAction::Sync { peer: known.record.peer });
     }
 
-    /// Sends the own record to newly learnt hosts.
+    /// Sends the own record to newly learnt hosts in notices.
     ///
     /// The total number of such notices is limited to [`CHANGE_FANOUT`], since other daemons
     /// learn of this one by gossip.
-    pub(super) fn announce_own_record(
+    pub(super) fn notify_new_hosts(
         &mut self,
         new_hosts: &[HostName],
         out: &mut Vec<MembershipAction>,
@@ -134,11 +134,12 @@
         let mut peers = Vec::new();
         for host in new_hosts {
             let Some(known) = self.members.get(host) else { continue };
-            let is_local = known.record.is_in(&self.own.data_centre);
-            let left = &mut self.announcements_left;
-            let left = if is_local { &mut left.local } else { &mut left.remote };
-            if *left > 0 {
-                *left -= 1;
+            let is_local = known.record.is_in(&self.own_record.data_centre);
+            let notices_left = &mut self.own_notices_left;
+            let notices_left =
+                if is_local { &mut notices_left.local } else { &mut notices_left.remote };
+            if *notices_left > 0 {
+                *notices_left -= 1;
                 peers.push(known.record.peer);
             }
         }
@@ -151,8 +152,8 @@
         peers: Vec<SocketAddr>,
         out: &mut Vec<MembershipAction>,
     ) {
-        let own = self.own.clone();
-        self.send_notices(peers, std::slice::from_ref(&own), out);
+        let own_record = self.own_record.clone();
+        self.send_notices(peers, std::slice::from_ref(&own_record), out);
     }
 
     /// Sends updates to some daemons at once, without waiting for the next probe.
@@ -184,7 +185,7 @@
     pub(super) fn sample_fanout(&self, counts: PeerCounts, rng: &mut Pcg64Mcg) -> Vec<SocketAddr> {
         let all = PeerCounts { local: usize::MAX, remote: usize::MAX };
         let is_small = self.members.len() <= NOTIFY_ALL_MAX_PEERS;
-        self.sample_up(if is_small { all } else { counts }, &self.own.host, rng)
+        self.sample_up(if is_small { all } else { counts }, &self.own_record.host, rng)
     }
 
     /// Samples daemons that are up, except `excluded`.
@@ -197,7 +198,7 @@
         let members = self.members.values().map(|known| &known.record);
         let up = members.filter(|record| record.is_up() && record.host != *excluded);
         let (mut local, mut remote): (Vec<&MemberRecord>, Vec<&MemberRecord>) =
-            up.partition(|record| record.is_in(&self.own.data_centre));
+            up.partition(|record| record.is_in(&self.own_record.data_centre));
         let (local, _) = local.partial_shuffle(rng, counts.local);
         let (remote, _) = remote.partial_shuffle(rng, counts.remote);
         local.iter().chain(remote.iter()).map(|record| record.peer).collect()
@@ -205,7 +206,7 @@
 
     /// Creates a message that piggybacks as many pending updates as fit.
     ///
-    /// `is_remote` tells whether the message goes to another data centre.
+    /// `is_remote` is true if the message goes to another data centre.
     pub(super) fn piggyback_message(
         &mut self,
         kind: GossipKind,
@@ -228,11 +229,11 @@
         let reserved_bytes = self.evacuation.encoded_size() + suspects.len() * SUSPECT_UPDATE_BYTES;
         let (fleet_size, local_size) = (self.members.len() + 1, self.local_size());
         let budget = MessageBudget { fleet_size, local_size, reserved_bytes, is_remote };
-        let (own, members) = (&self.own, &self.members);
+        let (own_record, members) = (&self.own_record, &self.members);
         let lookup = |host: &HostName| {
             let other = members.get(host).map(|known| &known.record);
-            let record = if *host == own.host { Some(own) } else { other };
-            record.map(|record| (record, record.is_in(&own.data_centre)))
+            let record = if *host == own_record.host { Some(own_record) } else { other };
+            record.map(|record| (record, record.is_in(&own_record.data_centre)))
         };
         self.updates.fill(&mut updates, &budget, lookup);
         GossipMessage { suspects, ..self.compose_message(kind, number, updates) }
@@ -246,10 +247,10 @@
         updates: Vec<MemberRecord>,
     ) -> GossipMessage {
         GossipMessage {
-            from: self.own.host.clone(),
+            from: self.own_record.host.clone(),
             kind,
             number,
-            revision: self.own.revision,
+            revision: self.own_record.revision,
             digest: self.digest,
             evacuation: self.evacuation.clone(),
             blamed_hash: self.suspect_queue.blamed_hash(),
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::dissemination::{FIRST_REMOTE_SYNC_DELAY, PeerCounts};
+use super::dissemination::{FIRST_REMOTE_EXCHANGE_DELAY, PeerCounts};
 use super::{MembershipAction, MembershipState};
 use crate::base::clock::MicroTime;
 use crate::base::consts::{GOSSIP_PERIOD, SUSPECT_PERIODS};
@@ -24,7 +24,7 @@
 /// while a daemon that is itself cut off suspects only a few members.
 const MAX_UNREACHED_PROBES: usize = 4;
 
-/// Longest wait for the answer to the probe of a member that a call could not reach.
+/// Maximum wait for the answer to the probe of a member that a call could not reach.
 const UNREACHED_PROBE_TIMEOUT: MicroTime = MicroTime::from_millis(250);
 
 /// Periods between two probes of a dead member.
@@ -42,7 +42,7 @@
 pub(super) struct PendingProbe {
     pub(super) host: HostName,
     pub(super) number: u64,
-    pub(super) sent: MicroTime,
+    pub(super) sent_at: MicroTime,
     /// Whether other daemons were asked for an indirect probe.
     pub(super) indirect: bool,
 }
@@ -54,7 +54,7 @@
     pub(super) requester: SocketAddr,
     pub(super) request_number: u64,
     pub(super) number: u64,
-    pub(super) sent: MicroTime,
+    pub(super) sent_at: MicroTime,
 }
 
 impl MembershipState {
@@ -73,7 +73,7 @@
         self.next_period = now + GOSSIP_PERIOD.into();
         if self.period == 0 {
             // A new daemon first gets records from its own data centre.
-            self.next_remote_sync = now + FIRST_REMOTE_SYNC_DELAY;
+            self.next_remote_exchange = now + FIRST_REMOTE_EXCHANGE_DELAY;
         }
         self.period += 1;
         self.expire_probe(now, out);
@@ -105,14 +105,14 @@
         self.last_number += 1;
         let number = self.last_number;
         let is_remote = self.is_remote_host(&host);
-        self.unreached_probes.push(PendingProbe { host, number, sent: now, indirect: false });
+        self.unreached_probes.push(PendingProbe { host, number, sent_at: now, indirect: false });
         let message = self.piggyback_message(GossipKind::Ping, number, is_remote);
         out.push(MembershipAction::Send { to, message });
     }
 
     /// Suspects the members that calls could not reach and that did not answer the probe.
     fn expire_unreached_probes(&mut self, now: MicroTime, out: &mut Vec<MembershipAction>) {
-        let is_late = |probe: &PendingProbe| now.since(probe.sent) >= UNREACHED_PROBE_TIMEOUT;
+        let is_late = |probe: &PendingProbe| now.since(probe.sent_at) >= UNREACHED_PROBE_TIMEOUT;
         let late: Vec<PendingProbe> =
             self.unreached_probes.extract_if(.., |probe| is_late(probe)).collect();
         for probe in late {
@@ -129,7 +129,7 @@
     ) {
         let timeout = MicroTime::from(GOSSIP_PERIOD / 2);
         let Some(probe) = &mut self.pending_probe else { return };
-        if probe.indirect || now.since(probe.sent) < timeout {
+        if probe.indirect || now.since(probe.sent_at) < timeout {
             return;
         }
         probe.indirect = true;
@@ -186,7 +186,7 @@
             }
         }
         let proxy_timeout = MicroTime::from(GOSSIP_PERIOD * 4);
-        self.proxies.retain(|proxy| now.since(proxy.sent) < proxy_timeout);
+        self.proxies.retain(|proxy| now.since(proxy.sent_at) < proxy_timeout);
     }
 
     /// Sends the probe of this period.
@@ -196,7 +196,7 @@
         rng: &mut Pcg64Mcg,
         out: &mut Vec<MembershipAction>,
     ) {
-        let centre = &self.own.data_centre;
+        let centre = &self.own_record.data_centre;
         let next = self.probe_order.next(now, self.period, centre, &self.members, rng);
         let Some(host) = next else { return };
         let Some(known) = self.members.get(&host) else { return };
@@ -206,7 +206,7 @@
         self.last_number += 1;
         let number = self.last_number;
         let is_remote = self.is_remote_host(&host);
-        self.pending_probe = Some(PendingProbe { host, number, sent: now, indirect: false });
+        self.pending_probe = Some(PendingProbe { host, number, sent_at: now, indirect: false });
         let message = self.piggyback_message_with(GossipKind::Ping, number, is_remote, suspicion);
         out.push(MembershipAction::Send { to, message });
     }
@@ -226,7 +226,7 @@
         self.last_number += 1;
         let to = record.peer;
         // The first record tells the member that it was declared dead, so that it can refute it.
-        let updates = vec![record, self.own.clone()];
+        let updates = vec![record, self.own_record.clone()];
         let message = self.compose_message(GossipKind::Ping, self.last_number, updates);
         out.push(MembershipAction::Send { to, message });
     }
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -63,7 +63,7 @@
                     requester: from,
                     request_number: number,
                     number: self.last_number,
-                    sent: now,
+                    sent_at: now,
                 };
                 self.proxies.push(proxy);
                 let message = self.piggyback_message(GossipKind::Ping, self.last_number, true);
@@ -78,13 +78,13 @@
                 }
             }
         }
-        if revision > self.own.revision
+        if revision > self.own_record.revision
             && let Some(known) = self.members.get(&sender)
         {
             out.push(MembershipAction::FetchRevision { peer: known.record.peer });
         }
         if digest != self.digest {
-            self.sync_with(now, &sender, rng, out);
+            self.start_exchange_with(now, &sender, rng, out);
         } else if sender_is_remote {
             self.remote_differs_since = None;
         }
@@ -94,7 +94,7 @@
     fn is_new_remote_record(&self, record: &MemberRecord) -> bool {
         let known = self.members.get(&record.host);
         let is_newer = known.is_none_or(|known| record.supersedes(&known.record));
-        is_newer && !record.is_in(&self.own.data_centre)
+        is_newer && !record.is_in(&self.own_record.data_centre)
     }
 
     /// Returns whether a sender's own record is older than the known record of an earlier
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The thread that communicates with other daemons: gossip, full exchanges and revisions.
+//! The duty that communicates with other daemons: gossip, full exchanges and revisions.
 
 mod exchange;
 mod rpc;
@@ -35,13 +35,13 @@
 /// Number of peers from which a new daemon fetches records and revisions when it joins.
 const JOIN_PEERS: usize = 3;
 
-/// Time between two log lines of the traffic between data centres.
+/// Interval between two log lines of the traffic between data centres.
 const TRAFFIC_LOG_INTERVAL: MicroTime = MicroTime::from_millis(10_000);
 
-/// Shortest time between two views of the fleet that are sent to the other threads.
+/// Minimum time between two views of the fleet that are sent to the other duties.
 const VIEW_INTERVAL: MicroTime = MicroTime::from_millis(100);
 
-/// Senders of the events that this thread passes to the other threads.
+/// Senders of the events that this duty passes to the other duties.
 #[derive(Debug)]
 pub(crate) struct PeersRings {
     pub(crate) entry: RingSender<EntryEvent>,
@@ -49,7 +49,7 @@
     pub(crate) platform: RingSender<PlatformEvent>,
 }
 
-/// The state that the tasks of this thread share.
+/// State that the tasks of the duty share.
 pub(crate) struct PeersDuty {
     clock: ProcessClock,
     pub(crate) membership: RefCell<MembershipState>,
@@ -58,21 +58,21 @@
     socket: UdpSocket,
     /// Configured addresses of daemons to join through, besides known members.
     seeds: Vec<SocketAddr>,
-    /// Whether the view has changed since it was sent to the other threads.
+    /// Whether the view of the fleet has changed since it was sent to the other duties.
     view_dirty: RefCell<bool>,
     /// Whether the entry may serve.
     joined: RefCell<bool>,
     /// Whether records and revisions of peers are being fetched before joining.
     joining: RefCell<bool>,
     fetching_revision: RefCell<bool>,
-    /// Set when joining starts: the platform's rows were read or could not be read, or a peer
+    /// Whether joining has started: the store's rows were read or could not be read, or a peer
     /// sent a message.
     bootstrapped: Cell<bool>,
     /// Whether the followers of the store have to be selected again.
     selection_outdated: Cell<bool>,
     /// Decides whether this daemon follows the store, unless it is isolated.
     follower_role: RefCell<FollowerRole>,
-    /// Last value sent to the platform thread: whether to follow the store.
+    /// Last value sent to the platform duty: whether to follow the store.
     following: Cell<bool>,
     /// Last value sent to the guard: whether this daemon is isolated from all others.
     reported_isolated: Cell<bool>,
@@ -80,18 +80,19 @@
     store_lost_changed_at: Cell<MicroTime>,
     /// When the last message from any peer was received.
     last_message_at: Cell<MicroTime>,
-    /// Suspected requests that still have to be passed to the other threads.
+    /// Crash records that still have to be passed to the other duties.
     pending_suspects: RefCell<PendingSuspects>,
-    /// Whether the other threads have the current set of evacuated data centres.
+    /// Whether the other duties have the current set of evacuated data centres.
     evacuation_reported: Cell<bool>,
     pub(crate) metrics: Arc<DaemonMetrics>,
     rings: PeersRings,
     logger: Logger,
 }
 
-/// Parameters of the thread.
+/// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct PeersParts {
+    /// Member record of this daemon.
     pub(crate) own: MemberRecord,
     pub(crate) seed: u64,
     pub(crate) seeds: Vec<SocketAddr>,
@@ -99,7 +100,7 @@
     pub(crate) listener: std::net::TcpListener,
 }
 
-/// Handles events until the thread's runtime ends.
+/// Runs the duty until its runtime ends.
 pub(crate) async fn run(
     parts: PeersParts,
     mut inbox: RingInbox<PeersEvent>,
@@ -151,7 +152,7 @@
                 if reached {
                     self.follower_role
                         .borrow_mut()
-                        .init_from_rows(&members, self.membership.borrow().own());
+                        .init_from_rows(&members, self.membership.borrow().own_record());
                 }
                 spawn_local(Rc::clone(self).join(members, reached));
             }
@@ -160,7 +161,7 @@
                 self.step(MembershipEvent::StoreLost(lost));
             }
             PeersEvent::Config(active) => {
-                let targets = self.membership.borrow().own().targets.clone();
+                let targets = self.membership.borrow().own_record().targets.clone();
                 let revision = active.head.revision;
                 *self.active.borrow_mut() = Some(active);
                 self.step(MembershipEvent::OwnChanged { targets, revision });
@@ -178,7 +179,7 @@
                 }
             }
             PeersEvent::LocalTargets(targets) => {
-                let revision = self.membership.borrow().own().revision;
+                let revision = self.membership.borrow().own_record().revision;
                 self.step(MembershipEvent::OwnChanged { targets, revision });
             }
             PeersEvent::Dump(reply) => drop(reply.send(self.dump())),
@@ -219,15 +220,16 @@
         self.pending_suspects.borrow_mut().flush(&self.rings);
     }
 
-    /// Sends the evacuated data centres to the other threads; repeated if a ring was full.
+    /// Sends the evacuated data centres to the other duties; repeated if a ring was full.
     fn report_evacuation(&self) {
         if self.evacuation_reported.get() {
             return;
         }
         let membership = self.membership.borrow();
         let centres = membership.evacuation().centres.clone();
-        let own_evacuated = centres.contains(&membership.own().data_centre);
-        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres, "own" => own_evacuated);
+        let own_evacuated = centres.contains(&membership.own_record().data_centre);
+        info!(self.logger, "evacuated data centres changed"; "data_centres" => ?centres,
+            "own" => own_evacuated);
         let entry = self.rings.entry.push(EntryEvent::Evacuated(centres)).is_ok();
         let guard = self.rings.guard.push(GuardEvent::Evacuated(own_evacuated)).is_ok();
         self.evacuation_reported.set(entry && guard);
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Does the periodic work.
+    /// Advances the membership state machine, and publishes the view, at regular intervals.
     async fn tick(self: Rc<Self>) {
         let mut timer = tokio::time::interval(GOSSIP_PERIOD / 5);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -295,7 +297,7 @@
             "guards" => bytes("guards"), "reports" => self.metrics.cross_centre_reports.get());
     }
 
-    /// Sends the view of the fleet to the other threads; repeated later if a ring is full.
+    /// Sends the view of the fleet to the other duties; repeated later if a ring is full.
     fn publish_view(&self) {
         let view = Arc::new(self.membership.borrow().view());
         let size = view.serving().count();
@@ -305,7 +307,7 @@
         *self.view_dirty.borrow_mut() = !(entry && guard && platform);
     }
 
-    /// Joins through a peer that sent a message, if the rows of the table were not read yet.
+    /// Joins through a peer that sent a message, if the store's rows were not read yet.
     fn join_if_discovered(self: &Rc<Self>) {
         let discovered = !*self.joined.borrow() && self.membership.borrow().knows_others();
         if discovered && !*self.joining.borrow() {
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Merges the members from the table and fetches records and revisions from some peers.
+    /// Merges the members from the store and fetches records and revisions from some peers.
     ///
     /// The entry may serve at once if `reached`, that is, if the store was read; otherwise
     /// once the first peer has replied.
@@ -326,19 +328,20 @@
         // Without the store, the newest revision of some peers is used, local or remote.
         let peers_needed = if reached { local_count.clamp(1, JOIN_PEERS) } else { JOIN_PEERS };
         if reached {
-            // If no peer provides a revision in time, the platform thread reads it.
+            // If no peer provides a revision in time, the platform duty reads it.
             self.finish_join(0, 0);
         }
-        let mut synced = 0;
+        let mut peers_read = 0;
         let mut newest = 0;
-        let syncs = peers.into_iter().map(|peer| Rc::clone(&self).sync_and_fetch_revision(peer));
-        let mut revisions = futures::stream::iter(syncs).buffer_unordered(JOIN_PEERS);
+        let fetches =
+            peers.into_iter().map(|peer| Rc::clone(&self).fetch_records_and_revision(peer));
+        let mut revisions = futures::stream::iter(fetches).buffer_unordered(JOIN_PEERS);
         while let Some(revision) = revisions.next().await {
             let Some(revision) = revision else { continue };
-            synced += 1;
+            peers_read += 1;
             newest = newest.max(revision);
-            self.finish_join(synced, newest);
-            if synced >= peers_needed {
+            self.finish_join(peers_read, newest);
+            if peers_read >= peers_needed {
                 break;
             }
         }
@@ -364,16 +367,17 @@
     }
 
     /// Lets the entry serve with the given revision or a later one.
-    fn finish_join(&self, synced_peers: usize, least_revision: u64) {
+    fn finish_join(&self, peers_read: usize, least_revision: u64) {
         if !self.joined.replace(true) {
             // The entry needs the members before it serves.
             self.publish_view();
-            info!(self.logger, "joined the fleet"; "peers" => synced_peers, "least_revision" => least_revision);
+            info!(self.logger, "joined the fleet"; "peers" => peers_read,
+                "least_revision" => least_revision);
             drop(self.rings.entry.push(EntryEvent::Joined { least_revision }));
         }
     }
 
-    /// Returns the state for the admin page.
+    /// Returns the duty's state, as JSON.
     fn dump(&self) -> Value {
         let membership = self.membership.borrow();
         json!({
--- a/src/fleet/peers/store_role.rs
+++ b/src/fleet/peers/store_role.rs
@@ -25,7 +25,7 @@
             return;
         }
         let retry_due = now.since(self.store_lost_changed_at.get()) >= STORE_RETRY_INTERVAL;
-        if retry_due && self.membership.borrow().own().store_lost {
+        if retry_due && self.membership.borrow().own_record().store_lost {
             self.step(MembershipEvent::StoreLost(false));
         }
         // An isolated daemon can't know which daemons follow the store, so it follows the
@@ -46,7 +46,8 @@
         if follows != self.following.get()
             && self.rings.platform.push(PlatformEvent::FollowStore(follows)).is_ok()
         {
-            info!(self.logger, "store follower role changed"; "follows" => follows, "alone" => isolated,
+            info!(self.logger, "store follower role changed"; "follows" => follows,
+                "alone" => isolated,
                 "unheard_us" => now.since(self.last_message_at.get()).0);
             self.following.set(follows);
         }
--- a/src/fleet/store_followers.rs
+++ b/src/fleet/store_followers.rs
@@ -6,8 +6,8 @@
 //! pass on changes by gossip.
 //!
 //! Each daemon computes the selection from the gossiped member records, so that all of them
-//! select the same followers. A follower that can't reach the store says so in its record,
-//! and the next daemon in the order takes its place.
+//! select the same followers. A follower that can't reach the store reports that in its
+//! record, and the next daemon in the order replaces it.
 
 use crate::base::clock::MicroTime;
 use crate::base::ids::HostName;
@@ -38,7 +38,7 @@
     /// Number of known daemons at the last growth by more than [`GROWTH_THRESHOLD`].
     size_at_growth: usize,
     /// Time of that growth.
-    last_growth: MicroTime,
+    last_growth_at: MicroTime,
     /// Whether nearly the whole fleet is known.
     view_complete: bool,
     /// Whether this daemon was among the selected followers at the last computation.
@@ -47,11 +47,11 @@
 
 impl FollowerRole {
     /// Initialises the role from the member rows that the store had when the daemon started.
-    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own: &MemberRecord) {
-        self.is_bootstrap_follower = follows_at_bootstrap(rows, own);
+    pub fn init_from_rows(&mut self, rows: &[MemberRecord], own_record: &MemberRecord) {
+        self.is_bootstrap_follower = follows_at_bootstrap(rows, own_record);
     }
 
-    /// Returns whether to follow the store.
+    /// Returns whether this daemon follows the store from now on.
     ///
     /// `size` is the number of known daemons, this one included. `is_selected` computes
     /// whether this daemon is among the selected followers; it is `None` if the members have
@@ -64,9 +64,9 @@
     ) -> bool {
         if size as f64 > self.size_at_growth as f64 * (1.0 + GROWTH_THRESHOLD) {
             self.size_at_growth = size;
-            self.last_growth = now;
+            self.last_growth_at = now;
         }
-        self.view_complete |= now.since(self.last_growth) >= GROWTH_TIMEOUT;
+        self.view_complete |= now.since(self.last_growth_at) >= GROWTH_TIMEOUT;
         if let Some(is_selected) = is_selected {
             self.is_selected = is_selected();
         }
@@ -76,14 +76,17 @@
 
 /// Returns whether a daemon follows the store before it knows the fleet: if the store has
 /// too few member rows, or has the daemon's own.
-fn follows_at_bootstrap(rows: &[MemberRecord], own: &MemberRecord) -> bool {
-    let is_own = |row: &MemberRecord| row.host == own.host && row.peer == own.peer;
+fn follows_at_bootstrap(rows: &[MemberRecord], own_record: &MemberRecord) -> bool {
+    let is_own = |row: &MemberRecord| row.host == own_record.host && row.peer == own_record.peer;
     rows.len() < MAX_STORE_FOLLOWERS || rows.iter().any(is_own)
 }
 
-/// Returns whether the daemon of host `own` is one of those that follow the store.
+/// Returns whether the daemon of `own_host` is one of those that follow the store.
 #[must_use]
-pub fn follows_store<'a>(members: impl Iterator<Item = &'a MemberRecord>, own: &HostName) -> bool {
+pub fn follows_store<'a>(
+    members: impl Iterator<Item = &'a MemberRecord>,
+    own_host: &HostName,
+) -> bool {
     let alive: Vec<&MemberRecord> = members.filter(|member| is_alive(member)).collect();
     let mut candidates = alive.clone();
     candidates.retain(|member| !member.store_lost);
@@ -91,7 +94,7 @@
         // No daemon reaches the store: the first ones in the order retry it.
         candidates = alive;
     }
-    let Some(own_member) = candidates.iter().find(|member| member.host == *own) else {
+    let Some(own_member) = candidates.iter().find(|member| member.host == *own_host) else {
         return false;
     };
     let own_hash = selection_hash(&own_member.host);
--- a/src/process/stop.rs
+++ b/src/process/stop.rs
@@ -11,18 +11,18 @@
 use crate::process::admin::AdminRings;
 use crate::process::settings::DaemonSettings;
 
-/// Time allowed for the leave message to reach some peers.
+/// Time allowed for the notice of the leave to reach some peers.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait for the member row to be removed from the platform's table.
-const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait for the member row to be removed from the platform's table.
+const ROW_REMOVAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Fraction of the time between a stop signal and a kill during which callers are asked to
 /// use another daemon. It is longer than the platform takes to notice that this one isn't
 /// ready.
 const DRAIN_FRACTION: f64 = 0.5;
 
-/// Fraction of that time after which all calls must have ended.
+/// Fraction of the time between a stop signal and a kill after which all calls must have ended.
 const STOP_FRACTION: f64 = 0.85;
 
 /// Time limits of a planned stop.
@@ -62,16 +62,16 @@
     }
 }
 
-/// Stops all duties: announces the leave to the peers, finishes the calls, and removes the
+/// Stops all duties: notifies the peers of the leave, finishes the calls, and removes the
 /// member row.
 pub(crate) async fn stop_duties(rings: &AdminRings, plan: StopPlan, logger: &Logger) {
     let StopPlan { drain, limit } = plan;
     info!(logger, "planned stop"; "bound_ms" => limit.as_millis() as u64);
-    let (leave_done, left) = oneshot::channel();
+    let (leave_done, peers_notified) = oneshot::channel();
     let leave_sent = rings.peers.push(PeersEvent::Leave(leave_done)).is_ok();
     // Runs beside the other steps, so that an unavailable platform doesn't delay the stop.
-    let (withdraw_done, withdrawn) = oneshot::channel();
-    let withdraw_sent = rings.platform.push(PlatformEvent::Leave(withdraw_done)).is_ok();
+    let (removal_done, row_removed) = oneshot::channel();
+    let removal_sent = rings.platform.push(PlatformEvent::RemoveMemberRow(removal_done)).is_ok();
     if rings.entry.push(EntryEvent::Withdraw).is_ok() {
         tokio::time::sleep(drain).await;
     }
@@ -86,11 +86,11 @@
         warn!(logger, "stop limit reached with calls in progress");
     }
     if leave_sent {
-        drop(tokio::time::timeout(LEAVE_TIMEOUT, left).await);
+        drop(tokio::time::timeout(LEAVE_TIMEOUT, peers_notified).await);
         tokio::time::sleep(LEAVE_TIMEOUT.saturating_sub(drain)).await;
     }
-    if withdraw_sent {
-        drop(tokio::time::timeout(WITHDRAW_TIMEOUT.saturating_sub(drain), withdrawn).await);
+    if removal_sent {
+        drop(tokio::time::timeout(ROW_REMOVAL_TIMEOUT.saturating_sub(drain), row_removed).await);
     }
     info!(logger, "stopped"; "entry" => entry_sent, "guard" => guard_sent, "in_time" => in_time);
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -86,8 +86,8 @@
                     now = now + MicroTime(us);
                     queue.step(now, AdmissionEvent::Tick, &mut out);
                 }
-                Step::Leave => queue.leave(&mut out),
-                Step::Rejoin => queue.rejoin(),
+                Step::Leave => queue.close(&mut out),
+                Step::Rejoin => queue.reopen(),
                 Step::Finish { .. } | Step::Cancel { .. } => {}
             }
             for action in out {
@@ -97,7 +97,7 @@
                 prop_assert!(decided.insert(call), "two decisions about one call");
                 if let AdmissionAction::Start(call) = action {
                     prop_assert!(deadline > Some(now), "started after its deadline");
-                    prop_assert!(!queue.is_leaving(), "started while the target leaves");
+                    prop_assert!(!queue.is_closed(), "started while the target leaves");
                     prop_assert!(running.len() < queue.limit(), "started beyond the limit");
                     running.push(call);
                 }
--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -127,7 +127,7 @@
     /// Starts a daemon that knows all running ones, as if it had read their rows from the table.
     pub fn start(&mut self, index: usize, incarnation: u64) {
         let records: Vec<MemberRecord> =
-            self.nodes.values().map(|node| node.own().clone()).collect();
+            self.nodes.values().map(|node| node.own_record().clone()).collect();
         self.nodes.insert(address(index), MembershipState::open(record(index, incarnation)));
         self.last_seen.remove(&address(index));
         self.step(address(index), MembershipEvent::RecordsReceived(records));
@@ -170,7 +170,8 @@
         let (Some(node), Some(peer_node)) = (self.nodes.get(&at), self.nodes.get(&peer)) else {
             return;
         };
-        let (targets, revision) = (node.own().targets.clone(), peer_node.own().revision);
+        let (targets, revision) =
+            (node.own_record().targets.clone(), peer_node.own_record().revision);
         if self.is_separated(at, peer) || self.fetched.get(&at) == Some(&revision) {
             return;
         }
@@ -255,7 +256,7 @@
     /// decreases, and no datagram is too large.
     fn check_invariants(&mut self) -> Result<(), TestCaseError> {
         for (at, node) in &self.nodes {
-            prop_assert!(node.own().state != MemberState::Dead);
+            prop_assert!(node.own_record().state != MemberState::Dead);
             let last_seen = self.last_seen.entry(*at).or_default();
             for member in node.view().members {
                 let current = (member.version, member.state);
--- a/tests/suspect_hosts.rs
+++ b/tests/suspect_hosts.rs
@@ -112,7 +112,7 @@
         for (at, node) in &network.nodes {
             let entry = entries.entry(*at).or_default();
             let none = std::collections::BTreeSet::new();
-            entry.registry.update(now, &node.view(), &node.own().data_centre, &none);
+            entry.registry.update(now, &node.view(), &node.own_record().data_centre, &none);
             if !uses_suspicion {
                 let targets = entry.registry.services.values_mut();
                 targets
