--- a/src/call/entry/suspects.rs
+++ b/src/call/entry/suspects.rs
@@ -10,7 +10,7 @@
 use crate::decide::retry::RetryDecision;
 
 /// Reason in the response to a call whose request is blamed for crashes.
-const REASON: &str = "ends_targets";
+const BLAMED_REASON: &str = "ends_targets";
 
 impl EntryDuty {
     /// Merges updates of crash records into this entry's records.
@@ -52,8 +52,8 @@
             "digest" => %call.digest,
             "crashes" => record.crashes, "ran" => failure_decision == RetryDecision::ReportUnknown);
         Some(match failure_decision {
-            RetryDecision::ReportUnknown => responses::unknown(REASON, None),
-            _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, REASON),
+            RetryDecision::ReportUnknown => responses::unknown(BLAMED_REASON, None),
+            _ => responses::not_run_permanently(StatusCode::SERVICE_UNAVAILABLE, BLAMED_REASON),
         })
     }
 }
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -126,18 +126,25 @@
     /// already ended and so can't have started calls in this cold period.
     ///
     /// The target reports at `now`, counted from the start of this guard, that it stays cold
-    /// for `remaining`; it is cold for `lasts` after its start. Must be called before the report
-    /// is passed to [`Self::note_health_answer`] or [`Self::note_heartbeat`].
+    /// for `remaining`; it is cold for `cold_duration` after its start. Must be called before
+    /// the report is passed to [`Self::note_health_answer`] or [`Self::note_heartbeat`].
     ///
     /// The block stays if the target was cold already and has restarted, because the earlier
     /// guard may have started calls in the first cold period: a guard that was killed between
     /// the two let 11 and then 11 more calls start within a second, at a target that sustains
     /// 13 (soak test, seed 2101).
-    pub fn note_cold_start(&mut self, now: MicroTime, remaining: MicroTime, lasts: MicroTime) {
+    pub fn note_cold_start(
+        &mut self,
+        now: MicroTime,
+        remaining: MicroTime,
+        cold_duration: MicroTime,
+    ) {
         let is_new =
             |end: MicroTime| now < end && reported_end(now, remaining) > end + COLD_END_TOLERANCE;
         let was_cold_before = matches!(self.state, ColdState::Until(end) if is_new(end));
-        if !was_cold_before && remaining <= lasts && lasts.since(remaining) < now + MIN_RESTART_TIME
+        if !was_cold_before
+            && remaining <= cold_duration
+            && cold_duration.since(remaining) < now + MIN_RESTART_TIME
         {
             self.blocked_until = MicroTime(0);
         }
@@ -254,7 +261,7 @@
     }
 }
 
-/// Returns the end of the cold period of a target that reports to stay cold for `remaining`.
+/// Returns the end of the cold period of a target that reports that it stays cold for `remaining`.
 fn reported_end(now: MicroTime, remaining: MicroTime) -> MicroTime {
     if remaining == MicroTime(0) {
         now
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -252,13 +252,13 @@
         if self.is_settled() {
             return;
         }
-        let Some(present) = self.throughput(self.level.saturating_sub(1), self.level) else {
+        let Some(current) = self.throughput(self.level.saturating_sub(1), self.level) else {
             return;
         };
         // After a decrease the statistics of the former level can't judge the levels above
         // the new one.
-        if !self.evaluate_lowered(&present) {
-            self.evaluate_raised(&present);
+        if !self.evaluate_lowered(&current) {
+            self.evaluate_raised(&current);
         }
         if self.is_settled() {
             self.settled_at = now;
@@ -266,14 +266,14 @@
     }
 
     /// Adopts the lower level if its throughput was clearly greater; returns whether it did.
-    fn evaluate_lowered(&mut self, present: &LevelThroughput) -> bool {
+    fn evaluate_lowered(&mut self, current: &LevelThroughput) -> bool {
         if self.lowered == self.level {
             return false;
         }
         let Some(lowered) = self.throughput(self.lowered, self.lowered) else { return false };
         let error = |measured: &LevelThroughput| DEVIATION / measured.answers.sqrt();
         let lower_bound = lowered.throughput * (1.0 - error(&lowered));
-        if lower_bound > present.throughput * (1.0 + error(present)) {
+        if lower_bound > current.throughput * (1.0 + error(current)) {
             self.level = self.lowered;
             self.reset_trials();
             return true;
@@ -286,13 +286,13 @@
 
     /// Adopts the higher level if its throughput was greater; otherwise halves the distance
     /// for the next trial.
-    fn evaluate_raised(&mut self, present: &LevelThroughput) {
+    fn evaluate_raised(&mut self, current: &LevelThroughput) {
         if self.raised == self.level {
             return;
         }
         let middle = self.level + (self.raised - self.level) / 2;
         let Some(raised) = self.throughput(middle + 1, self.raised) else { return };
-        if raised.throughput > present.throughput {
+        if raised.throughput > current.throughput {
             self.level = self.raised;
             self.reset_trials();
         } else {
