--- a/src/call/entry/mod.rs
+++ b/src/call/entry/mod.rs
@@ -100,7 +100,7 @@
 /// Inputs of [`run`].
 #[derive(Debug)]
 pub(crate) struct EntryParts {
-    pub(crate) seed: u64,
+    pub(crate) rng_seed: u64,
     pub(crate) header_names: &'static HeaderNames,
     pub(crate) data_centre: CentreName,
     pub(crate) crossing_cost: f64,
@@ -133,13 +133,13 @@
         metrics,
         probe_budget: RefCell::new(parts.probe_budget),
         probe_socket,
-        rng: RefCell::new(Pcg64Mcg::seed_from_u64(parts.seed)),
+        rng: RefCell::new(Pcg64Mcg::seed_from_u64(parts.rng_seed)),
         hedge_budget: RefCell::new(RetryBudget::open_hedges()),
         retry_budgets: RefCell::default(),
         retry_share: Cell::new(parts.retry_share),
         max_fleet_size: Cell::new(1),
         quotas: EntryQuotas::default(),
-        holder_offset: parts.seed as usize,
+        holder_offset: parts.rng_seed as usize,
         suspects: RefCell::default(),
         header_names: parts.header_names,
         data_centre: parts.data_centre,
--- a/src/call/guard/mod.rs
+++ b/src/call/guard/mod.rs
@@ -78,7 +78,7 @@
     /// Service of the host's target, if the settings name one.
     pub(crate) own_service: Option<ServiceName>,
     /// Address of the host's target, if the settings name one.
-    pub(crate) own_target: Option<SocketAddr>,
+    pub(crate) target_address: Option<SocketAddr>,
     /// Time for which a target's heartbeat stays valid.
     pub(crate) target_lease: Duration,
     /// Tolerance above the configured call rate of cold targets.
@@ -176,7 +176,7 @@
     spawn_local(Rc::clone(&duty).accept(listener));
     spawn_local(Rc::clone(&duty).serve_datagrams(socket));
     spawn_local(Rc::clone(&duty).tick());
-    if let (Some(service), Some(address)) = (duty.own_service.clone(), parts.own_target) {
+    if let (Some(service), Some(address)) = (duty.own_service.clone(), parts.target_address) {
         spawn_local(health::discover_target(Rc::clone(&duty), service, address));
     }
     loop {
--- a/src/durable/mod.rs
+++ b/src/durable/mod.rs
@@ -82,7 +82,7 @@
     pub(crate) client: PlatformClient,
     /// Member record of this daemon.
     pub(crate) own: MemberRecord,
-    pub(crate) seed: u64,
+    pub(crate) rng_seed: u64,
     pub(crate) source: ConfigSource,
     /// Whether the whole fleet starts for the first time, so that many daemons read the rows
     /// at once.
@@ -97,7 +97,7 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PlatformParts { client, own, seed, source, first_start } = parts;
+    let PlatformParts { client, own, rng_seed, source, first_start } = parts;
     let duty = Rc::new(PlatformDuty {
         client,
         revisions: RefCell::default(),
@@ -110,7 +110,7 @@
         following: watch::Sender::new(false),
         own_row_version: Cell::new(None),
         fleet_size: RefCell::new(1),
-        rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+        rng: RefCell::new(Pcg64Mcg::seed_from_u64(rng_seed)),
         metrics,
         rings,
         logger,
--- a/src/fleet/membership/events.rs
+++ b/src/fleet/membership/events.rs
@@ -20,7 +20,7 @@
         message: GossipMessage,
     },
     /// The targets of this host or its revision changed.
-    OwnChanged {
+    OwnRecordChanged {
         /// All targets of this host.
         targets: Vec<AdvertisedTarget>,
         /// The revision in force.
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -143,7 +143,7 @@
             MembershipEvent::Message { from, message } => {
                 self.receive(now, from, message, rng, out);
             }
-            MembershipEvent::OwnChanged { targets, revision } => {
+            MembershipEvent::OwnRecordChanged { targets, revision } => {
                 self.set_own_targets(targets, revision, rng, out);
             }
             MembershipEvent::StoreLost(lost) => self.set_store_lost(lost, rng, out),
@@ -286,7 +286,7 @@
             return;
         }
         let version = record.version + 1;
-        self.update_own(|own| own.version = version);
+        self.update_own_record(|own| own.version = version);
         out.push(MembershipAction::ViewChanged);
         self.refutation_due = true;
     }
@@ -307,7 +307,7 @@
             }
             return;
         }
-        self.update_own(|own| {
+        self.update_own_record(|own| {
             own.targets = targets;
             own.revision = revision;
             own.version += 1;
@@ -333,7 +333,7 @@
         if self.own_record.store_lost == lost {
             return;
         }
-        self.update_own(|own| {
+        self.update_own_record(|own| {
             own.store_lost = lost;
             own.version += 1;
         });
@@ -341,7 +341,7 @@
         self.notify_of_own_change(rng, out);
     }
 
-    fn update_own(&mut self, change: impl FnOnce(&mut MemberRecord)) {
+    fn update_own_record(&mut self, change: impl FnOnce(&mut MemberRecord)) {
         self.digest ^= self.own_record.digest();
         change(&mut self.own_record);
         self.digest ^= self.own_record.digest();
@@ -349,7 +349,7 @@
     }
 
     fn leave(&mut self, rng: &mut Pcg64Mcg, out: &mut Vec<MembershipAction>) {
-        self.update_own(|own| {
+        self.update_own_record(|own| {
             own.state = MemberState::Left;
             own.version += 1;
             for target in &mut own.targets {
--- a/src/fleet/peers/mod.rs
+++ b/src/fleet/peers/mod.rs
@@ -57,7 +57,7 @@
     rng: RefCell<Pcg64Mcg>,
     socket: UdpSocket,
     /// Configured addresses of daemons to join through, besides known members.
-    seeds: Vec<SocketAddr>,
+    seed_addresses: Vec<SocketAddr>,
     /// Whether the view of the fleet has changed since it was sent to the other duties.
     view_dirty: RefCell<bool>,
     /// Whether the entry may serve.
@@ -94,8 +94,8 @@
 pub(crate) struct PeersParts {
     /// Member record of this daemon.
     pub(crate) own: MemberRecord,
-    pub(crate) seed: u64,
-    pub(crate) seeds: Vec<SocketAddr>,
+    pub(crate) rng_seed: u64,
+    pub(crate) seed_addresses: Vec<SocketAddr>,
     pub(crate) socket: std::net::UdpSocket,
     pub(crate) listener: std::net::TcpListener,
 }
@@ -108,7 +108,7 @@
     metrics: Arc<DaemonMetrics>,
     logger: Logger,
 ) {
-    let PeersParts { own, seed, seeds, socket, listener } = parts;
+    let PeersParts { own, rng_seed, seed_addresses, socket, listener } = parts;
     let (Ok(socket), Ok(listener)) = (UdpSocket::from_std(socket), TcpListener::from_std(listener))
     else {
         return;
@@ -117,9 +117,9 @@
         clock: ProcessClock::open(),
         membership: RefCell::new(MembershipState::open(own)),
         active: RefCell::default(),
-        rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+        rng: RefCell::new(Pcg64Mcg::seed_from_u64(rng_seed)),
         socket,
-        seeds,
+        seed_addresses,
         view_dirty: RefCell::new(true),
         joined: RefCell::new(false),
         joining: RefCell::new(false),
@@ -164,7 +164,7 @@
                 let targets = self.membership.borrow().own_record().targets.clone();
                 let revision = active.head.revision;
                 *self.active.borrow_mut() = Some(active);
-                self.step(MembershipEvent::OwnChanged { targets, revision });
+                self.step(MembershipEvent::OwnRecordChanged { targets, revision });
             }
             PeersEvent::Evacuation(evacuation) => {
                 self.step(MembershipEvent::Evacuation(evacuation));
@@ -180,7 +180,7 @@
             }
             PeersEvent::LocalTargets(targets) => {
                 let revision = self.membership.borrow().own_record().revision;
-                self.step(MembershipEvent::OwnChanged { targets, revision });
+                self.step(MembershipEvent::OwnRecordChanged { targets, revision });
             }
             PeersEvent::Dump(reply) => drop(reply.send(self.dump())),
             PeersEvent::Members(reply) => drop(reply.send(self.membership.borrow().view())),
@@ -359,7 +359,8 @@
             up.partition(|member| member.is_in(&own.data_centre));
         let mut local: Vec<SocketAddr> = local.iter().map(|member| member.peer).collect();
         let remote = remote.iter().map(|member| member.peer);
-        let mut remote: Vec<SocketAddr> = remote.chain(self.seeds.iter().copied()).collect();
+        let mut remote: Vec<SocketAddr> =
+            remote.chain(self.seed_addresses.iter().copied()).collect();
         let mut rng = self.rng.borrow_mut();
         local.shuffle(&mut *rng);
         remote.shuffle(&mut *rng);
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -129,7 +129,7 @@
     let mut duties: Vec<(&str, DutyFactory)> = Vec::new();
 
     let parts = EntryParts {
-        seed,
+        rng_seed: seed,
         header_names,
         data_centre: settings.data_centre.clone(),
         crossing_cost: deployment
@@ -155,7 +155,7 @@
         incarnation,
         header_names,
         own_service: deployment.map(|deployment| deployment.service.clone()),
-        own_target: deployment.and_then(|deployment| deployment.target_address),
+        target_address: deployment.and_then(|deployment| deployment.target_address),
         target_lease: terms.map_or(TARGET_LEASE, |terms| terms.target_lease),
         cold_terms: terms.map(|terms| terms.cold).unwrap_or_default(),
         quota_terms: terms.map(|terms| terms.quota).unwrap_or_default(),
@@ -170,8 +170,8 @@
 
     let parts = PeersParts {
         own: own.clone(),
-        seed: seed.wrapping_add(1),
-        seeds: settings.seeds.clone(),
+        rng_seed: seed.wrapping_add(1),
+        seed_addresses: settings.seeds.clone(),
         socket: peer.1,
         listener: peer.0,
     };
@@ -181,7 +181,7 @@
 
     let source = if platform.is_some() { ConfigSource::Operator } else { ConfigSource::Published };
     let first_start = settings.first_start;
-    let parts = PlatformParts { client, own, seed: seed.wrapping_add(2), source, first_start };
+    let parts = PlatformParts { client, own, rng_seed: seed.wrapping_add(2), source, first_start };
     let (inbox, counters, log) = (rings.platform, Arc::clone(&metrics), logger.clone());
     let out = rings.from_platform;
     duties.push(("platform", duty_factory(move || durable::run(parts, inbox, out, counters, log))));
--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -160,7 +160,7 @@
         self.fetching.insert(at, revision);
         self.count(peer, at, FETCH_BYTES);
         self.sent += 1;
-        let event = MembershipEvent::OwnChanged { targets, revision };
+        let event = MembershipEvent::OwnRecordChanged { targets, revision };
         self.flying.insert((self.now_ms + FETCH_MS, self.sent), (peer, at, event));
     }
 
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -118,7 +118,7 @@
     fn tell_target(&mut self, index: usize, ready: bool) {
         let targets = advertised(index, ready);
         let revision = 1;
-        self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
+        self.network.step(address(index), MembershipEvent::OwnRecordChanged { targets, revision });
     }
 
     fn pass(&mut self, ms: u64) {
@@ -148,7 +148,8 @@
         let (from, crossing) = (self.network.now_ms, self.network.crossing);
         for &index in followers {
             let targets = advertised(index, true);
-            self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
+            self.network
+                .step(address(index), MembershipEvent::OwnRecordChanged { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own_record().revision == revision;
         let known_ms = self.until(from, |fleet| fleet.network.nodes.values().all(in_force));
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -55,9 +55,9 @@
         let mut network = FakeNetwork::open(count, seed, 0.05);
         network.run(10_000)?;
         let advertised = |ready| vec![AdvertisedTarget { service: "s".into(), name: "t".into(), slots: 4, ready }];
-        network.step(address(0), MembershipEvent::OwnChanged { targets: advertised(true), revision: 1 });
+        network.step(address(0), MembershipEvent::OwnRecordChanged { targets: advertised(true), revision: 1 });
         network.run(10_000)?;
-        network.step(address(0), MembershipEvent::OwnChanged { targets: advertised(false), revision: 1 });
+        network.step(address(0), MembershipEvent::OwnRecordChanged { targets: advertised(false), revision: 1 });
         network.run(10_000)?;
         for node in network.nodes.values() {
             let view = node.view();
