--- a/src/call/guard/call_admission.rs
+++ b/src/call/guard/call_admission.rs
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// Returns the answer to a call that did not run, or `None` if the entry reset the stream,
-    /// so that nobody waits for an answer.
+    /// so that no answer is needed.
     async fn admit(
         &self,
         call: &ServedCall,
--- a/src/call/guard/served_call/mod.rs
+++ b/src/call/guard/served_call/mod.rs
@@ -62,7 +62,7 @@
     fn drop(&mut self) {
         if let Some(target) = self.0.duty.targets.borrow_mut().get_mut(&self.0.target_key) {
             // Can't underflow, since `LocalTarget::restart` keeps the count when the target
-            // restarts; saturates all the same.
+            // restarts; saturates as a precaution.
             target.claiming = target.claiming.saturating_sub(1);
         }
     }
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -22,7 +22,7 @@
 pub const COLD_RATE_WINDOW: MicroTime = MicroTime::from_millis(1_100);
 
 /// Calls subtracted from the limit, for calls that an earlier guard of the target started
-/// and that are still on their way.
+/// and that are still in transit.
 const RESERVED_CALLS: u32 = 2;
 
 /// Minimum time between the end of a target's earlier guard and the start of this one. A
@@ -59,11 +59,11 @@
 }
 
 /// Time added to a reported end of a cold period: the reported remaining time is rounded
-/// down to milliseconds, and its message was in transit for a while.
+/// down to milliseconds, and its message was in transit for some time.
 const COLD_END_MARGIN: MicroTime = MicroTime::from_millis(50);
 
-/// Maximum reported cold time that is accepted: a target that reports nonsense must not be
-/// limited for good.
+/// Maximum reported cold time that is accepted: a target that reports an invalid time must not
+/// be limited permanently.
 const MAX_COLD_DURATION: MicroTime = MicroTime::from_millis(60_000);
 
 /// Time after which a target that is assumed cold and reports nothing counts as warm: by
--- a/src/decide/quota/credit.rs
+++ b/src/decide/quota/credit.rs
@@ -8,7 +8,7 @@
 
 /// Time for which an entry may use a grant.
 ///
-/// The requests let through within a window were therefore granted in that window or at most
+/// The requests admitted within a window were therefore granted in that window or at most
 /// this long before it.
 pub const GRANT_LIFETIME: MicroTime = MicroTime::from_millis(100);
 
@@ -27,7 +27,7 @@
 /// Decision of an entry about a request of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// Let the request through.
+    /// Admit the request.
     Admit,
     /// Request a grant of this number of requests, the current one included.
     AskHolder(u16),
--- a/src/decide/quota/holder.rs
+++ b/src/decide/quota/holder.rs
@@ -8,7 +8,7 @@
 use crate::base::clock::MicroTime;
 use crate::base::ids::{AccountName, HostName};
 
-/// Half-life of the remembered size of the fleet, in seconds.
+/// Half-life of the recorded size of the fleet, in seconds.
 const SIZE_HALF_LIFE_S: f64 = 60.0;
 
 /// Tracks whether at least half of the fleet is up in the view of a daemon.
@@ -17,7 +17,7 @@
 /// grants as well.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct FleetQuorum {
-    /// Remembered size of the fleet: the maximum number of daemons seen, with decay.
+    /// Recorded size of the fleet: the maximum number of daemons that were up, with decay.
     size: f64,
     /// Number of daemons believed to be up.
     up: usize,
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -16,7 +16,7 @@
 /// Result of an entry's request for a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// Number of requests that the entry may let through.
+    /// Number of requests that the entry may admit.
     pub granted: u16,
     /// Time after which to retry if nothing was granted, in milliseconds.
     pub wait_ms: u32,
--- a/src/decide/selection.rs
+++ b/src/decide/selection.rs
@@ -46,7 +46,8 @@
 /// Cost of a failed answer, in service times.
 const FAILURE_COST: f64 = 8.0;
 
-/// Number of consecutive failures after which a target is ejected: not chosen for a while.
+/// Number of consecutive failures after which a target is ejected, that is, not chosen until
+/// [`TargetRecord::ejected_until`].
 const EJECT_AFTER_FAILURES: u32 = 5;
 
 /// Duration of the first ejection; it doubles with each further failure, up to 32 times.
--- a/src/durable/commits.rs
+++ b/src/durable/commits.rs
@@ -39,7 +39,7 @@
         self.pending_wake.notify_one();
     }
 
-    /// Queues a write whose result nobody waits for.
+    /// Queues a write whose result no call waits for.
     pub(super) fn enqueue_write(&self, write: TableWrite) {
         self.enqueue(PendingWrite::Background(write));
     }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -3,7 +3,7 @@
 //! The protocol is SWIM: in each period a daemon probes one other daemon, asks three more to
 //! probe it when no answer arrives, and piggybacks updates on the messages that it sends
 //! anyway, so that the cost per daemon does not grow with the fleet. Dead members are
-//! remembered and probed now and then, so that partitioned regions find each other again.
+//! kept and probed occasionally, so that partitioned regions find each other again.
 //!
 //! This module merges member records. `probing` detects failed members, in the order of
 //! `probe_order`; `receive` handles datagrams; `dissemination` sends the updates that
--- a/src/fleet/membership/probing.rs
+++ b/src/fleet/membership/probing.rs
@@ -30,11 +30,11 @@
 /// Periods between two probes of a dead member.
 const DEAD_PROBE_PERIODS: u64 = 2;
 
-/// Time for which a dead member is remembered: longer than network partitions are expected
-/// to last.
+/// Time for which the record of a dead member is kept: longer than network partitions are
+/// expected to last.
 const DEAD_RETENTION: MicroTime = MicroTime::from_millis(4 * 3_600_000);
 
-/// Time for which a member that has left is remembered.
+/// Time for which the record of a member that has left is kept.
 const LEFT_RETENTION: MicroTime = MicroTime::from_millis(600_000);
 
 /// A probe that is not answered yet.
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -35,7 +35,7 @@
 use crate::process::stop;
 use crate::store::table::PlatformClient;
 
-/// Maximum size of a request body in a deployment, in bytes: the most that its operator may allow.
+/// Maximum size of a request body in a deployment, in bytes; its operator may set a lower limit.
 const MAX_DEPLOYMENT_BODY: usize = 64 << 20;
 
 /// Handle of a running daemon.
--- a/src/process/listen.rs
+++ b/src/process/listen.rs
@@ -159,7 +159,7 @@
         attempts += 1;
         match bind_udp(local_address(&listener, address)?) {
             Ok(socket) => return Ok((listener, socket)),
-            // The operating system chose the port: let it choose another one.
+            // The operating system chose a port that is in use for UDP; it chooses another one.
             Err(_taken) if address.port() == 0 && attempts < MAX_PORT_ATTEMPTS => {}
             Err(error) => return Err(error),
         }
--- a/src/rules/account.rs
+++ b/src/rules/account.rs
@@ -60,8 +60,8 @@
 
 /// Index of the accounts by the hashes of their tokens.
 ///
-/// The time that a look-up takes reveals at most something about the hash of the token
-/// presented. A caller can't choose that hash, so this does not help it to guess a token.
+/// The time that a look-up takes may reveal something about the hash of the presented token. A
+/// caller can't choose that hash, so this does not help it to guess a token.
 #[derive(Clone, Debug, Default)]
 pub struct AccountIndex(OnceLock<HashMap<[u8; blake3::OUT_LEN], usize>>);
 
--- a/src/store/claim.rs
+++ b/src/store/claim.rs
@@ -34,7 +34,7 @@
 pub(crate) enum PendingWrite {
     /// A claim that a call waits for.
     Claim(ClaimRequest),
-    /// The outcome of a call, the release of a claim, or another write whose result nobody
+    /// The outcome of a call, the release of a claim, or another write whose result no call
     /// waits for.
     Background(TableWrite),
 }
--- a/src/store/table.rs
+++ b/src/store/table.rs
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::ReplyLost`] if the writes may have been applied all the same.
+    /// Returns [`PlatformError::ReplyLost`] if the writes may have been applied.
     pub async fn commit(&self, writes: &[TableWrite]) -> Result<CommitReply, PlatformError> {
         (self.operations.commit)(writes.to_vec()).await
     }
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::ReplyLost`] if the object may have been written all the same.
+    /// Returns [`PlatformError::ReplyLost`] if the object may have been written.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
         (self.operations.put_object)(name.to_owned(), body).await
     }
