--- a/tests/common/fake_network.rs
+++ b/tests/common/fake_network.rs
@@ -178,7 +178,7 @@
         self.fetched.insert(at, revision);
         self.count_bytes(peer, at, FETCH_BYTES);
         self.last_sequence += 1;
-        let event = MembershipEvent::OwnChanged { targets, revision };
+        let event = MembershipEvent::OwnRecordChanged { targets, revision };
         self.in_transit.insert((self.now_ms + FETCH_MS, self.last_sequence), (peer, at, event));
     }
 
--- a/tests/gossip_at_size.rs
+++ b/tests/gossip_at_size.rs
@@ -125,7 +125,7 @@
     fn set_target_ready(&mut self, index: usize, ready: bool) {
         let targets = advertised(index, ready);
         let revision = 1;
-        self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
+        self.network.step(address(index), MembershipEvent::OwnRecordChanged { targets, revision });
     }
 
     /// Lets time pass.
@@ -159,7 +159,8 @@
         let (from, remote_bytes) = (self.network.now_ms, self.network.remote_bytes);
         for &index in followers {
             let targets = advertised(index, true);
-            self.network.step(address(index), MembershipEvent::OwnChanged { targets, revision });
+            self.network
+                .step(address(index), MembershipEvent::OwnRecordChanged { targets, revision });
         }
         let in_force = |node: &MembershipState| node.own_record().revision == revision;
         let known_ms = self.run_until(from, |fleet| fleet.network.nodes.values().all(in_force));
