--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -172,7 +172,7 @@
     let fleet = TestFleet::spawn(FleetPlan::default());
     for round in 0..6 {
         let key = format!("k{round}");
-        fleet.set_faults(|faults| faults.lose_answers = 1);
+        fleet.set_faults(|faults| faults.unanswered_writes = 1);
         let call = fleet.post_request(&key, "/bulletin?size=100");
         let report = fleet.repeat_until_final(round % 3, &call);
         assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -50,7 +50,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, slots: 1, ..FleetPlan::default() });
     // The target announces more slots than it has, and answers 503 while one call waits.
     fleet.targets[0].behave(|behaviour| {
-        behaviour.said_slots = Some(8);
+        behaviour.reported_slots = Some(8);
         behaviour.shed_above = Some(0);
     });
     common::eventually("the guard knows the announced slots", || {
--- a/tests/common/hosted.rs
+++ b/tests/common/hosted.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use railspan_standins::{
-    DaemonPlace, DaemonProcess, DaemonSpec, HostedAnswer, HostedTarget, PlatformLimits,
+    DaemonEndpoints, DaemonProcess, DaemonSpec, HostedResponse, HostedTarget, PlatformLimits,
     PlatformStandin, hosted_call,
 };
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
             let daemon = fleet.start_daemon(index);
             let name = format!("i-{index}");
             let target = HostedTarget::spawn(SERVICE, &name, service_time).expect("target");
-            target.report_to(daemon.place().control.expect("control"));
+            target.send_heartbeats_to(daemon.place().control.expect("control"));
             fleet.daemons.push(daemon);
             fleet.targets.push(target);
         }
@@ -71,7 +71,7 @@
     }
 
     /// Starts a daemon at the addresses of an earlier one, as its next incarnation.
-    pub fn start_daemon_at(&self, index: usize, place: &DaemonPlace) -> DaemonProcess {
+    pub fn start_daemon_at(&self, index: usize, place: &DaemonEndpoints) -> DaemonProcess {
         DaemonProcess::spawn_at(&self.daemon_spec(index), place).expect("daemon")
     }
 
@@ -149,7 +149,7 @@
 
     /// Makes a request with a deadline of 2 s through a daemon, to `prefix` followed by
     /// `id`; `None` if it got no complete answer.
-    pub fn call(&self, index: usize, prefix: &str, id: &str) -> Option<HostedAnswer> {
+    pub fn call(&self, index: usize, prefix: &str, id: &str) -> Option<HostedResponse> {
         self.call_with_deadline(index, prefix, id, 2_000)
     }
 
@@ -161,7 +161,7 @@
         prefix: &str,
         id: &str,
         deadline_ms: u32,
-    ) -> Option<HostedAnswer> {
+    ) -> Option<HostedResponse> {
         let method = if prefix == SAFE_PREFIX { "GET" } else { "POST" };
         let deadline = deadline_ms.to_string();
         let headers = [
@@ -217,7 +217,7 @@
         let mut fleet = HostedFleet::spawn(hosts, service_time);
         let targets = std::mem::take(&mut fleet.targets);
         for target in &targets {
-            target.end_on(CRASHING_PATH);
+            target.crash_on_path(CRASHING_PATH);
         }
         let started_targets = Mutex::new(targets.into_iter().enumerate().collect());
         Self { fleet, started_targets }
@@ -237,9 +237,9 @@
                     let name = format!("i-{}", started.len());
                     let target = HostedTarget::spawn(SERVICE, &name, started[0].1.work());
                     let target = target.expect("target");
-                    target.end_on(CRASHING_PATH);
+                    target.crash_on_path(CRASHING_PATH);
                     target.restart(started.len() as u64);
-                    target.report_to(self.control(host));
+                    target.send_heartbeats_to(self.control(host));
                     started.push((host, target));
                 }
             }
@@ -249,7 +249,7 @@
 
     /// Sends one copy of the crashing request through a daemon, with `id` as its request
     /// id; `None` if it got no complete answer.
-    pub fn send_crashing_request(&self, host: usize, id: &str) -> Option<HostedAnswer> {
+    pub fn send_crashing_request(&self, host: usize, id: &str) -> Option<HostedResponse> {
         let headers = [("Host", VIRTUAL_HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000")];
         hosted_call(self.daemons[host].place().caller, "GET", CRASHING_PATH, &headers, b"").ok()
     }
@@ -271,7 +271,8 @@
 
     /// Kills all daemons and starts them again at the same addresses.
     pub fn restart_daemons(&mut self) {
-        let places: Vec<DaemonPlace> = self.daemons.iter().map(|daemon| *daemon.place()).collect();
+        let places: Vec<DaemonEndpoints> =
+            self.daemons.iter().map(|daemon| *daemon.place()).collect();
         self.fleet.daemons.clear();
         for (index, place) in places.iter().enumerate() {
             let daemon = self.fleet.start_daemon_at(index, place);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,8 +9,9 @@
 
 use railspan::{FleetConfig, RevisionHead, open_store};
 use railspan_standins::{
-    CallReport, CallRequest, CallerClient, DaemonPlace, DaemonProcess, DaemonSpec, PlatformFaults,
-    PlatformLimits, PlatformStandin, TargetOptions, TargetRun, TargetStandin, Verdict, fetch,
+    CallReport, CallRequest, CallerClient, DaemonEndpoints, DaemonProcess, DaemonSpec,
+    PlatformFaults, PlatformLimits, PlatformStandin, TargetOptions, TargetRun, TargetStandin,
+    Verdict, fetch,
 };
 use serde_json::Value;
 use tokio::runtime::Runtime;
@@ -120,7 +121,7 @@
     }
 
     /// Returns the addresses at which a daemon listens.
-    pub fn addresses(&self, index: usize) -> DaemonPlace {
+    pub fn addresses(&self, index: usize) -> DaemonEndpoints {
         *self.daemons[index].place()
     }
 
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -48,7 +48,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     for _ in 0..3 {
         // The body's answer is lost first, then the head's.
-        fleet.set_faults(|faults| faults.lose_answers = 1);
+        fleet.set_faults(|faults| faults.unanswered_writes = 1);
         let before =
             fleet.runtime.block_on(railspan::read_head(&open_store(fleet.platform.address())));
         let before = before.expect("head").expect("published").0.revision;
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -187,7 +187,7 @@
 fn a_crashed_target_gets_no_calls_while_its_heartbeat_is_still_valid() {
     let terms = "heartbeat=60s,retry_budget_ratio=0.2,budget_slack=58,grace=6s";
     let fleet = HostedFleet::spawn_with_terms(2, SERVICE_TIME, terms);
-    fleet.targets[0].end_on(SAFE_PREFIX);
+    fleet.targets[0].crash_on_path(SAFE_PREFIX);
     common::eventually("the crashed target is not ready", || {
         drop(fleet.call(1, SAFE_PREFIX, "any"));
         fleet.state(0)["guard"]["targets"][0]["ready"] == false
--- a/tests/evacuated.rs
+++ b/tests/evacuated.rs
@@ -71,7 +71,7 @@
     // process of another test may have got one of the old addresses by now.
     for index in 0..3 {
         fleet.daemons[index] = fleet.start_daemon(index + 3);
-        fleet.targets[index].report_to(fleet.control(index));
+        fleet.targets[index].send_heartbeats_to(fleet.control(index));
     }
     for index in 0..3 {
         eventually("evacuated after the restart", || {
@@ -120,8 +120,8 @@
 #[test]
 fn malformed_rows_of_other_writers_leave_valid_rows_in_force() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
-    fleet.platform.write_own_row("fleet-member-nobody", b"\xff\x00 no text");
-    fleet.platform.write_own_row("fleet-member-host-9", b"{\"host\":7}");
+    fleet.platform.write_system_row("fleet-member-nobody", b"\xff\x00 no text");
+    fleet.platform.write_system_row("fleet-member-host-9", b"{\"host\":7}");
     fleet.platform.write_operator_row("config", Some(b"{\"version\":\"r9"));
     evacuate(&fleet, "no-such-place");
     for index in 0..2 {
--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -7,7 +7,7 @@
 
 use common::eventually;
 use common::hosted::{HostedFleet, SAFE_PREFIX, SERVICE, VIRTUAL_HOST, platform_config};
-use railspan_standins::{HostedAnswer, hosted_call};
+use railspan_standins::{HostedResponse, hosted_call};
 use serde_json::{Value, json};
 
 const KEY: &str = "n2ftimaj3nr26tta828m";
@@ -43,7 +43,7 @@
     path: &str,
     key: Option<&str>,
     id: &str,
-) -> HostedAnswer {
+) -> HostedResponse {
     let bearer = key.map(|key| format!("Bearer {key}"));
     let mut headers = vec![
         ("Host", VIRTUAL_HOST),
--- a/tests/hosted_calls.rs
+++ b/tests/hosted_calls.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use common::hosted::{HostedFleet, SAFE_PREFIX, SERVICE, UNSAFE_PREFIX};
-use railspan_standins::{HostedMood, HostedTarget};
+use railspan_standins::{HostedBehaviour, HostedTarget};
 use test_case::test_case;
 
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-fn set_all_moods(fleet: &HostedFleet, mood: &HostedMood) {
-    fleet.targets.iter().for_each(|target| target.set_mood(mood.clone()));
+fn set_all_moods(fleet: &HostedFleet, mood: &HostedBehaviour) {
+    fleet.targets.iter().for_each(|target| target.set_behaviour(mood.clone()));
 }
 
 #[test]
@@ -36,11 +36,11 @@
     }
 }
 
-#[test_case(&HostedMood::LoseAnswer; "lost")]
-#[test_case(&HostedMood::Foreign; "with another request id")]
-#[test_case(&HostedMood::Unsigned; "without its signature")]
-#[test_case(&HostedMood::Truncate; "truncated")]
-fn an_invalid_answer_is_not_delivered_and_its_write_runs_once(mood: &HostedMood) {
+#[test_case(&HostedBehaviour::LoseResponse; "lost")]
+#[test_case(&HostedBehaviour::Foreign; "with another request id")]
+#[test_case(&HostedBehaviour::Unsigned; "without its signature")]
+#[test_case(&HostedBehaviour::Truncate; "truncated")]
+fn an_invalid_answer_is_not_delivered_and_its_write_runs_once(mood: &HostedBehaviour) {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     set_all_moods(&fleet, mood);
     for number in 0..4 {
@@ -54,7 +54,7 @@
 #[test]
 fn a_read_whose_answer_is_lost_is_retried_at_another_target() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
-    fleet.targets[0].set_mood(HostedMood::LoseAnswer);
+    fleet.targets[0].set_behaviour(HostedBehaviour::LoseResponse);
     let served = (0..6).filter(|number| {
         let answer = fleet.call(0, SAFE_PREFIX, &format!("read{number}"));
         answer.is_some_and(|answer| answer.status == 200)
@@ -62,9 +62,9 @@
     assert_eq!(served.count(), 6);
 }
 
-#[test_case(&HostedMood::Decline; "declined")]
-#[test_case(&HostedMood::OtherTarget; "meant for another target")]
-fn a_call_that_no_target_ran_is_refused_with_a_retry_time(mood: &HostedMood) {
+#[test_case(&HostedBehaviour::Decline; "declined")]
+#[test_case(&HostedBehaviour::OtherTarget; "meant for another target")]
+fn a_call_that_no_target_ran_is_refused_with_a_retry_time(mood: &HostedBehaviour) {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     set_all_moods(&fleet, mood);
     let answer = fleet.call(0, UNSAFE_PREFIX, "refused").expect("answer");
@@ -78,7 +78,7 @@
 #[test]
 fn an_unexpected_second_answer_on_a_connection_is_delivered_to_no_caller() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    fleet.targets[0].set_mood(HostedMood::Twice);
+    fleet.targets[0].set_behaviour(HostedBehaviour::Twice);
     for number in 0..10 {
         let id = format!("twice{number}");
         let answer = fleet.call(0, SAFE_PREFIX, &id).expect("answer");
@@ -91,7 +91,7 @@
 #[test]
 fn an_error_answer_of_a_target_is_delivered_unchanged() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    fleet.targets[0].set_mood(HostedMood::Fail);
+    fleet.targets[0].set_behaviour(HostedBehaviour::Fail);
     let answer = fleet.call(0, UNSAFE_PREFIX, "failed").expect("answer");
     assert_eq!((answer.status, answer.headers["x-server-signature"].as_str()), (500, "3e1b.07"));
 }
@@ -122,8 +122,8 @@
         );
     }
     for target in &fleet.targets {
-        target.set_work(Duration::from_millis(250));
-        target.set_mood(HostedMood::LoseAnswer);
+        target.set_service_time(Duration::from_millis(250));
+        target.set_behaviour(HostedBehaviour::LoseResponse);
     }
     let answer = fleet.call(0, SAFE_PREFIX, "lost").expect("answer");
     assert_eq!(answer.status, 504);
@@ -134,7 +134,7 @@
 #[test]
 fn the_first_reads_of_a_route_do_not_wait_for_a_hanging_target() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
-    fleet.targets[0].set_work(Duration::from_secs(5));
+    fleet.targets[0].set_service_time(Duration::from_secs(5));
     let statuses: Vec<u16> = std::thread::scope(|scope| {
         let calls: Vec<_> = (0..6)
             .map(|number| {
--- a/tests/hosted_life.rs
+++ b/tests/hosted_life.rs
@@ -7,7 +7,7 @@
 
 use common::eventually;
 use common::hosted::{HostedFleet, SAFE_PREFIX, UNSAFE_PREFIX, platform_config};
-use railspan_standins::{HostedMood, HostedTarget, PlatformFaults};
+use railspan_standins::{HostedBehaviour, HostedTarget, PlatformFaults};
 
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
@@ -20,7 +20,7 @@
     let answer = std::thread::scope(|scope| {
         let call = scope.spawn(|| fleet.call(0, UNSAFE_PREFIX, "under-way"));
         std::thread::sleep(SIGNAL_DELAY);
-        fleet.daemons[0].hang_up().expect("signal");
+        fleet.daemons[0].request_reload().expect("signal");
         call.join().expect("thread")
     });
     assert_eq!(answer.expect("answer").status, 200);
@@ -49,7 +49,7 @@
     assert_eq!(fleet.targets[0].drain(fleet.control(0)).expect("drain"), 200);
     let before = fleet.targets[0].runs().len();
     // A heartbeat from before the drain arrives late.
-    assert_eq!(fleet.targets[0].send_late_beat(fleet.control(0)).expect("beat"), 200);
+    assert_eq!(fleet.targets[0].send_stale_heartbeat(fleet.control(0)).expect("beat"), 200);
     for number in 0..20 {
         let answer =
             fleet.call(number % 2, SAFE_PREFIX, &format!("drained{number}")).expect("answer");
@@ -62,7 +62,7 @@
 fn a_late_heartbeat_does_not_bring_back_a_target_that_left() {
     let fleet = HostedFleet::spawn(2, SERVICE_TIME);
     assert_eq!(fleet.targets[1].leave(fleet.control(1)).expect("leave"), 200);
-    assert_eq!(fleet.targets[1].send_late_beat(fleet.control(1)).expect("beat"), 200);
+    assert_eq!(fleet.targets[1].send_stale_heartbeat(fleet.control(1)).expect("beat"), 200);
     for number in 0..20 {
         let answer = fleet.call(number % 2, SAFE_PREFIX, &format!("left{number}")).expect("answer");
         assert_eq!(answer.status, 200);
@@ -135,7 +135,7 @@
             200
         );
     }
-    fleet.targets[1].tell_slowness(400);
+    fleet.targets[1].set_reported_slowness(400);
     eventually("the entry knows the slowness", || {
         // A guard sends health checks, which return the slowness, only to targets in use.
         drop(fleet.call(1, SAFE_PREFIX, "use"));
@@ -149,7 +149,7 @@
     let unknown_target =
         HostedTarget::spawn("grillas", "i-stranger", SERVICE_TIME).expect("target");
     assert_eq!(unknown_target.leave(fleet.control(0)).expect("leave"), 200);
-    assert_eq!(unknown_target.send_late_beat(fleet.control(0)).expect("beat"), 200);
+    assert_eq!(unknown_target.send_stale_heartbeat(fleet.control(0)).expect("beat"), 200);
     let state = fleet.state(0);
     let known = state["guard"]["targets"].as_array().expect("targets");
     assert_eq!(known.len(), 1, "the late heartbeat added a target: {known:?}");
@@ -158,7 +158,7 @@
 #[test]
 fn a_target_whose_address_now_belongs_to_another_is_removed() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    fleet.targets[0].set_mood(HostedMood::OtherTarget);
+    fleet.targets[0].set_behaviour(HostedBehaviour::OtherTarget);
     assert_eq!(fleet.call(0, SAFE_PREFIX, "moved").expect("answer").status, 503);
     eventually("the entry knows no target", || {
         fleet.state(0)["entry"]["services"][common::hosted::SERVICE].is_null()
@@ -174,7 +174,7 @@
     let mut daemons: Vec<_> = (1..=12)
         .map(|index| {
             let daemon = fleet.start_daemon(index);
-            daemon.hang_up().expect("signal");
+            daemon.request_reload().expect("signal");
             daemon.terminate().expect("signal");
             daemon
         })
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -19,9 +19,9 @@
     let mut fleet = HostedFleet::spawn(2, SERVICE_TIME);
     fleet.daemons[1].kill().expect("kill");
     fleet.daemons[1] = fleet.start_daemon_advertising(1, guard_link.address(), peer_link.address());
-    guard_link.lead_to(fleet.daemons[1].place().guard);
-    peer_link.lead_to(fleet.daemons[1].place().peer);
-    fleet.targets[1].report_to(fleet.control(1));
+    guard_link.set_upstream(fleet.daemons[1].place().guard);
+    peer_link.set_upstream(fleet.daemons[1].place().peer);
+    fleet.targets[1].send_heartbeats_to(fleet.control(1));
     fleet.wait_for_targets(0, 2);
     // Only the target behind the link is left.
     assert_eq!(fleet.targets[0].leave(fleet.control(0)).expect("leave"), 200);
