--- a/benches/capacity/added.rs
+++ b/benches/capacity/added.rs
@@ -51,7 +51,7 @@
 /// which has no target of its own.
 fn run(fleet: &BenchFleet, rate: u32, through: bool) -> Histogram<u64> {
     let client = CallerClient::open();
-    let entry = fleet.daemons[4].place().caller;
+    let entry = fleet.daemons[4].endpoints().caller;
     let targets: Arc<[SocketAddr]> = fleet.targets.iter().map(TargetStandin::address).collect();
     let calls = CALLS.min(rate * 20);
     fleet.runtime.block_on(async {
--- a/benches/capacity/claims.rs
+++ b/benches/capacity/claims.rs
@@ -31,7 +31,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         for caller in 0..callers {
             let (client, refused) = (client.clone(), Arc::clone(&refused));
-            let place = fleet.daemons[caller % fleet.daemons.len()].place().caller;
+            let place = fleet.daemons[caller % fleet.daemons.len()].endpoints().caller;
             tasks.spawn(async move {
                 let mut verdicts = Vec::new();
                 for number in 0..EACH {
--- a/benches/capacity/fleet.rs
+++ b/benches/capacity/fleet.rs
@@ -65,7 +65,7 @@
                     service: service.to_owned(),
                     name: format!("target-{index:04}"),
                     address: any,
-                    daemon: daemon.place().admin,
+                    daemon: daemon.endpoints().admin,
                     slots: 12,
                     service_us,
                     seed: index as u64,
@@ -101,7 +101,7 @@
     fn wait(&self, holds: impl Fn(&Self, SocketAddr) -> bool) -> Duration {
         let began = Instant::now();
         for daemon in &self.daemons {
-            while !holds(self, daemon.place().admin) {
+            while !holds(self, daemon.endpoints().admin) {
                 assert!(began.elapsed() < LIMIT, "the fleet did not get there");
                 std::thread::sleep(Duration::from_millis(20));
             }
@@ -112,7 +112,7 @@
     /// Sums a counter over all daemons.
     fn counter(&self, name: &str) -> f64 {
         let pages = self.daemons.iter().map(|daemon| {
-            let page = self.runtime.block_on(fetch("GET", daemon.place().admin, "/metrics"));
+            let page = self.runtime.block_on(fetch("GET", daemon.endpoints().admin, "/metrics"));
             let text = page.map(|(_, body)| String::from_utf8_lossy(&body).into_owned());
             let text = text.unwrap_or_default();
             let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -16,8 +16,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use railspan::{DaemonParts, DaemonSettings, FleetConfig, open_store};
 use railspan_standins::{
-    CallReport, CallRequest, CallerClient, DaemonPlace, DaemonProcess, DaemonSpec, PlatformLimits,
-    PlatformStandin, TargetOptions, TargetRun, TargetStandin, Verdict,
+    CallReport, CallRequest, CallerClient, DaemonEndpoints, DaemonProcess, DaemonSpec,
+    PlatformLimits, PlatformStandin, TargetOptions, TargetRun, TargetStandin, Verdict,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -171,7 +171,8 @@
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut fleet = start_fleet(user)?;
     runtime.block_on(publish(user, fleet.platform.address))?;
-    let places: Vec<DaemonPlace> = fleet.daemons.iter().map(|daemon| *daemon.place()).collect();
+    let places: Vec<DaemonEndpoints> =
+        fleet.daemons.iter().map(|daemon| *daemon.endpoints()).collect();
     runtime.block_on(wait_ready(user, &places))?;
     let (reports, posted) = runtime.block_on(make_calls(options, user, &places, &mut fleet))?;
     let runs = runtime.block_on(read_runs(&fleet))?;
@@ -205,7 +206,7 @@
             &[
                 service.name.to_owned(),
                 format!("{}-{number}", service.name),
-                daemon.place().admin.to_string(),
+                daemon.endpoints().admin.to_string(),
                 user.slots.to_string(),
                 service_us.to_string(),
                 index.to_string(),
@@ -224,7 +225,7 @@
 }
 
 /// Waits until every service answers through every daemon.
-async fn wait_ready(user: &UserFleet, places: &[DaemonPlace]) -> Outcome<()> {
+async fn wait_ready(user: &UserFleet, places: &[DaemonEndpoints]) -> Outcome<()> {
     let client = CallerClient::open();
     let until = Instant::now() + START_LIMIT;
     for place in places {
@@ -277,7 +278,7 @@
 async fn make_calls(
     options: &QuickOptions,
     user: &UserFleet,
-    places: &[DaemonPlace],
+    places: &[DaemonEndpoints],
     fleet: &mut Fleet,
 ) -> Outcome<(Vec<CallReport>, Vec<String>)> {
     let calls = draw_calls(options, user);
@@ -286,7 +287,7 @@
     bar.set_style(ProgressStyle::with_template("calls {bar:40} {pos}/{len} {elapsed}")?);
     let client = CallerClient::open();
     let gate = Arc::new(Semaphore::new(options.at_once));
-    let places: Arc<[DaemonPlace]> = Arc::from(places);
+    let places: Arc<[DaemonEndpoints]> = Arc::from(places);
     let mut tasks = JoinSet::new();
     for (number, call) in calls.into_iter().enumerate() {
         let permit = Arc::clone(&gate).acquire_owned().await?;
@@ -312,7 +313,7 @@
 /// Calls, and comes back when told to, through the next daemon.
 async fn call_until_run(
     client: &CallerClient,
-    places: &[DaemonPlace],
+    places: &[DaemonEndpoints],
     number: usize,
     call: &CallRequest,
 ) -> CallReport {
--- a/standins/src/hosted.rs
+++ b/standins/src/hosted.rs
@@ -11,7 +11,7 @@
 
 use serde_json::json;
 
-use crate::hosted_answer::{HostedMood, answer};
+use crate::hosted_behaviour::{HostedBehaviour, answer};
 use crate::hosted_client::{hosted_call, read_head};
 
 /// Time between two heartbeats.
@@ -21,20 +21,20 @@
 #[derive(Clone, Debug)]
 pub struct HostedRun {
     /// Method and path.
-    pub line: String,
+    pub request_line: String,
     /// Headers by lower-case name.
     pub headers: HashMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
     /// When it came.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 #[derive(Debug)]
 struct HostedState {
     service: String,
     name: String,
-    mood: Mutex<HostedMood>,
+    mood: Mutex<HostedBehaviour>,
     work: Mutex<Duration>,
     runs: Mutex<Vec<HostedRun>>,
     sequence: AtomicU64,
@@ -95,7 +95,7 @@
         let state = Arc::new(HostedState {
             service: service.to_owned(),
             name: name.to_owned(),
-            mood: Mutex::new(HostedMood::Answer),
+            mood: Mutex::new(HostedBehaviour::Answer),
             work: Mutex::new(work),
             runs: Mutex::default(),
             sequence: AtomicU64::new(0),
@@ -115,12 +115,12 @@
     }
 
     /// Keeps sending heartbeats to a daemon's control address.
-    pub fn report_to(&self, control: SocketAddr) {
-        self.report_as(self.address, control);
+    pub fn send_heartbeats_to(&self, control: SocketAddr) {
+        self.send_heartbeats_as(self.address, control);
     }
 
-    /// Reports as [`Self::report_to`] does, and says that it listens at `address`.
-    pub fn report_as(&self, address: SocketAddr, control: SocketAddr) {
+    /// Reports as [`Self::send_heartbeats_to`] does, and says that it listens at `address`.
+    pub fn send_heartbeats_as(&self, address: SocketAddr, control: SocketAddr) {
         let state = Arc::clone(&self.state);
         std::thread::spawn(move || {
             while !state.ended.load(Ordering::Relaxed) {
@@ -138,7 +138,7 @@
 
     /// Ends as a process that crashes does, while it runs a request of such a path:
     /// all its connections are gone at once, and nobody listens any more.
-    pub fn end_on(&self, path: &str) {
+    pub fn crash_on_path(&self, path: &str) {
         *lock(&self.state.ends_on) = Some(path.to_owned());
     }
 
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// Fails when the daemon can't be reached.
-    pub fn send_late_beat(&self, control: SocketAddr) -> io::Result<u16> {
+    pub fn send_stale_heartbeat(&self, control: SocketAddr) -> io::Result<u16> {
         send_beat(&self.state, self.address, control, "ready", 1)
     }
 
@@ -198,28 +198,28 @@
     }
 
     /// Is cold from now on for some time.
-    pub fn turn_cold(&self, lasts: Duration) {
+    pub fn set_cold_for(&self, lasts: Duration) {
         *lock(&self.state.cold_until) = Some(Instant::now() + lasts);
     }
 
     /// Changes how it answers.
-    pub fn set_mood(&self, mood: HostedMood) {
+    pub fn set_behaviour(&self, mood: HostedBehaviour) {
         *lock(&self.state.mood) = mood;
     }
 
     /// Changes how long a request takes.
-    pub fn set_work(&self, work: Duration) {
+    pub fn set_service_time(&self, work: Duration) {
         *lock(&self.state.work) = work;
     }
 
     /// Returns how long a request takes.
     #[must_use]
-    pub fn work(&self) -> Duration {
+    pub fn service_time(&self) -> Duration {
         *lock(&self.state.work)
     }
 
     /// Changes what it tells of its host's speed, in percent of the usual time.
-    pub fn tell_slowness(&self, percent: u64) {
+    pub fn set_reported_slowness(&self, percent: u64) {
         self.state.slowness.store(percent, Ordering::Relaxed);
     }
 
@@ -310,11 +310,11 @@
         let mut mood = lock(&state.mood).clone();
         // Meant for the target that had this address before.
         if headers.get("x-target-instance").is_some_and(|name| *name != state.name) {
-            mood = HostedMood::OtherTarget;
+            mood = HostedBehaviour::OtherTarget;
         }
-        if !matches!(mood, HostedMood::Decline | HostedMood::OtherTarget) {
+        if !matches!(mood, HostedBehaviour::Decline | HostedBehaviour::OtherTarget) {
             let deadly = state.is_ended_by(&line);
-            let run = HostedRun { line, headers, body, at: Instant::now() };
+            let run = HostedRun { request_line: line, headers, body, received_at: Instant::now() };
             lock(&state.runs).push(run);
             let work = *lock(&state.work);
             std::thread::sleep(work);
--- a/standins/src/hosted_client.rs
+++ b/standins/src/hosted_client.rs
@@ -12,7 +12,7 @@
 
 /// What the client got.
 #[derive(Clone, Debug)]
-pub struct HostedAnswer {
+pub struct HostedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers by lower-case name.
@@ -34,7 +34,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> io::Result<HostedAnswer> {
+) -> io::Result<HostedResponse> {
     HostedConnection::open(address, CLIENT_LIMIT)?.call(method, path, headers, body)
 }
 
@@ -69,7 +69,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-    ) -> io::Result<HostedAnswer> {
+    ) -> io::Result<HostedResponse> {
         let start = Instant::now();
         let mut lines = vec![format!("{method} {path} HTTP/1.1")];
         lines.extend(headers.iter().map(|(name, value)| format!("{name}: {value}")));
@@ -87,7 +87,7 @@
         let length = headers.get("content-length").and_then(|text| text.parse().ok());
         let mut body = vec![0; length.unwrap_or(0)];
         self.reader.read_exact(&mut body)?;
-        Ok(HostedAnswer { status, headers, body, took: start.elapsed() })
+        Ok(HostedResponse { status, headers, body, took: start.elapsed() })
     }
 }
 
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -3,7 +3,7 @@
 mod bucket;
 mod caller;
 mod hosted;
-mod hosted_answer;
+mod hosted_behaviour;
 mod hosted_client;
 mod http;
 mod link;
@@ -14,9 +14,9 @@
 
 pub use caller::{CallReport, CallRequest, CallerClient, Verdict, fetch, fetch_runs};
 pub use hosted::{HostedRun, HostedTarget};
-pub use hosted_answer::HostedMood;
-pub use hosted_client::{HostedAnswer, HostedConnection, hosted_call};
-pub use link::{FaultyLink, LinkWay};
+pub use hosted_behaviour::HostedBehaviour;
+pub use hosted_client::{HostedConnection, HostedResponse, hosted_call};
+pub use link::{FaultyLink, LinkDirection};
 pub use platform::{PlatformFaults, PlatformLimits, PlatformStandin};
-pub use process::{DaemonPlace, DaemonProcess, DaemonSpec};
+pub use process::{DaemonEndpoints, DaemonProcess, DaemonSpec};
 pub use target::{TargetBehaviour, TargetOptions, TargetRun, TargetStandin, expected_body};
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -26,11 +26,11 @@
 
 /// Which way bytes go through a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkWay {
+pub enum LinkDirection {
     /// Towards the process that the link stands before.
-    Inward,
+    Inbound,
     /// Back to who connected.
-    Outward,
+    Outbound,
 }
 
 #[derive(Debug)]
@@ -51,10 +51,10 @@
         *self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_cut(&self, way: LinkWay) -> bool {
+    fn is_cut(&self, way: LinkDirection) -> bool {
         let cut = match way {
-            LinkWay::Inward => &self.cut_inward,
-            LinkWay::Outward => &self.cut_outward,
+            LinkDirection::Inbound => &self.cut_inward,
+            LinkDirection::Outbound => &self.cut_outward,
         };
         cut.load(Ordering::Relaxed)
     }
@@ -68,7 +68,7 @@
 }
 
 impl FaultyLink {
-    /// Binds a link that carries nothing until [`Self::lead_to`].
+    /// Binds a link that carries nothing until [`Self::set_upstream`].
     ///
     /// # Errors
     ///
@@ -98,7 +98,7 @@
     }
 
     /// Says where the process is now.
-    pub fn lead_to(&self, process: SocketAddr) {
+    pub fn set_upstream(&self, process: SocketAddr) {
         *self.state.process.lock().unwrap_or_else(PoisonError::into_inner) = Some(process);
     }
 
@@ -108,10 +108,10 @@
     }
 
     /// Lets nothing pass one way: streams wait, datagrams are lost.
-    pub fn cut(&self, way: LinkWay, cut: bool) {
+    pub fn cut(&self, way: LinkDirection, cut: bool) {
         let flag = match way {
-            LinkWay::Inward => &self.state.cut_inward,
-            LinkWay::Outward => &self.state.cut_outward,
+            LinkDirection::Inbound => &self.state.cut_inward,
+            LinkDirection::Outbound => &self.state.cut_outward,
         };
         flag.store(cut, Ordering::Relaxed);
     }
@@ -129,8 +129,8 @@
     /// Ends all faults but the silence of connections that fell silent.
     pub fn heal(&self) {
         self.delay(0);
-        self.cut(LinkWay::Inward, false);
-        self.cut(LinkWay::Outward, false);
+        self.cut(LinkDirection::Inbound, false);
+        self.cut(LinkDirection::Outbound, false);
     }
 }
 
@@ -158,7 +158,7 @@
 async fn join(outer: TcpStream, state: Arc<LinkState>) {
     let born = state.silences.load(Ordering::Relaxed);
     let mut resets = state.resets.subscribe();
-    while state.is_cut(LinkWay::Inward) {
+    while state.is_cut(LinkDirection::Inbound) {
         tokio::time::sleep(HELD_UP).await;
     }
     let Some(process) = state.process() else { return };
@@ -174,8 +174,8 @@
     let reset = tokio::select! {
         () = async {
             tokio::join!(
-                pump(&mut outer_read, &mut inner_write, &state, LinkWay::Inward, born),
-                pump(&mut inner_read, &mut outer_write, &state, LinkWay::Outward, born),
+                pump(&mut outer_read, &mut inner_write, &state, LinkDirection::Inbound, born),
+                pump(&mut inner_read, &mut outer_write, &state, LinkDirection::Outbound, born),
             );
         } => false,
         _ = resets.changed() => true,
@@ -191,7 +191,7 @@
     from: &mut (impl AsyncReadExt + Unpin),
     to: &mut (impl AsyncWriteExt + Unpin),
     state: &LinkState,
-    way: LinkWay,
+    way: LinkDirection,
     born: u64,
 ) {
     let mut buffer = vec![0; PIECE];
@@ -228,7 +228,7 @@
     loop {
         let Ok((length, from)) = outer.recv_from(&mut buffer).await else { continue };
         let Some(process) = state.process() else { continue };
-        if state.is_cut(LinkWay::Inward) {
+        if state.is_cut(LinkDirection::Inbound) {
             continue;
         }
         if !senders.contains_key(&from) {
@@ -257,7 +257,7 @@
 ) {
     let mut buffer = vec![0; PIECE];
     while let Ok((length, _)) = inner.recv_from(&mut buffer).await {
-        if !state.is_cut(LinkWay::Outward) {
+        if !state.is_cut(LinkDirection::Outbound) {
             drop(outer.try_send_to(&buffer[..length], to));
         }
     }
--- a/standins/src/other_writers.rs
+++ b/standins/src/other_writers.rs
@@ -17,7 +17,7 @@
     }
 
     /// Writes a row of the system's, as another writer would.
-    pub fn write_own_row(&self, key: &str, value: &[u8]) {
+    pub fn write_system_row(&self, key: &str, value: &[u8]) {
         self.put_row(OWN_TABLE, key, Some(value));
     }
 }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -58,7 +58,8 @@
     /// Every request takes this much longer, in milliseconds.
     pub slow_ms: u64,
     /// So many further writes are applied but not answered.
-    pub lose_answers: u32,
+    #[serde(rename = "lose_answers")]
+    pub unanswered_writes: u32,
     /// Objects can't be found.
     pub objects_missing: bool,
     /// The history of changes is gone: whoever follows it must read anew.
@@ -231,8 +232,8 @@
         return Some(reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
     }
     let response = state.serve(&parts.method, &path, &query, body);
-    if writes && state.faults.lose_answers > 0 {
-        state.faults.lose_answers -= 1;
+    if writes && state.faults.unanswered_writes > 0 {
+        state.faults.unanswered_writes -= 1;
         return None;
     }
     Some(response)
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -44,7 +44,7 @@
 
 /// Where a daemon listens.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct DaemonPlace {
+pub struct DaemonEndpoints {
     /// For callers.
     pub caller: SocketAddr,
     /// For other daemons' entries.
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct DaemonProcess {
     child: Child,
-    place: DaemonPlace,
+    place: DaemonEndpoints,
     _settings: NamedTempFile,
 }
 
@@ -78,7 +78,7 @@
     pub fn spawn(spec: &DaemonSpec) -> io::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let ports = Some(any).filter(|_any| spec.deployment.is_some());
-        let place = DaemonPlace {
+        let place = DaemonEndpoints {
             caller: any,
             guard: any,
             peer: any,
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// Fails when the process can't be started or does not say where it is.
-    pub fn spawn_at(spec: &DaemonSpec, place: &DaemonPlace) -> io::Result<Self> {
+    pub fn spawn_at(spec: &DaemonSpec, place: &DaemonEndpoints) -> io::Result<Self> {
         let mut settings = NamedTempFile::new()?;
         let mut text = json!({
             "host": spec.host,
@@ -144,7 +144,7 @@
 
     /// Returns where the daemon listens.
     #[must_use]
-    pub const fn place(&self) -> &DaemonPlace {
+    pub const fn endpoints(&self) -> &DaemonEndpoints {
         &self.place
     }
 
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// Fails when the process is gone.
-    pub fn hang_up(&self) -> io::Result<()> {
+    pub fn request_reload(&self) -> io::Result<()> {
         self.signal(Signal::SIGHUP)
     }
 
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -65,11 +65,13 @@
     /// Bytes sent beyond the length that was announced.
     pub extra: usize,
     /// Slots it says it has, if not the true number.
-    pub said_slots: Option<u16>,
+    #[serde(rename = "said_slots")]
+    pub reported_slots: Option<u16>,
     /// Calls waiting for a slot above which it answers 503 at once.
     pub shed_above: Option<usize>,
     /// Load it reports whatever the true one is.
-    pub said_load: Option<usize>,
+    #[serde(rename = "said_load")]
+    pub reported_load: Option<usize>,
     /// Age of the load it reports, in milliseconds.
     pub load_lag_ms: u64,
 }
@@ -83,9 +85,9 @@
             fail_fast: 0,
             cut_after: None,
             extra: 0,
-            said_slots: None,
+            reported_slots: None,
             shed_above: None,
-            said_load: None,
+            reported_load: None,
             load_lag_ms: 0,
         }
     }
@@ -110,7 +112,7 @@
     slots: Semaphore,
     waiting: AtomicUsize,
     busy: AtomicUsize,
-    most_busy: AtomicUsize,
+    max_concurrent_calls: AtomicUsize,
     rng: Mutex<Pcg64Mcg>,
 }
 
@@ -136,7 +138,7 @@
             slots: Semaphore::new(usize::from(options.slots)),
             waiting: AtomicUsize::new(0),
             busy: AtomicUsize::new(0),
-            most_busy: AtomicUsize::new(0),
+            max_concurrent_calls: AtomicUsize::new(0),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(options.seed)),
             options,
         });
@@ -168,8 +170,8 @@
 
     /// Returns the most calls that ran at once.
     #[must_use]
-    pub fn most_busy(&self) -> usize {
-        self.shared.most_busy.load(Ordering::Relaxed)
+    pub fn max_concurrent_calls(&self) -> usize {
+        self.shared.max_concurrent_calls.load(Ordering::Relaxed)
     }
 }
 
@@ -208,7 +210,7 @@
                 "service": options.service,
                 "target": options.name,
                 "address": address,
-                "slots": behaviour.said_slots.unwrap_or(options.slots),
+                "slots": behaviour.reported_slots.unwrap_or(options.slots),
                 "condition": behaviour.condition,
             });
             let request = Request::post(format!("http://{}/announce", options.daemon))
@@ -235,7 +237,7 @@
             let busy = shared.busy.load(Ordering::Relaxed);
             // What it tells is as old as the answer is late.
             tokio::time::sleep(Duration::from_millis(behaviour.load_lag_ms)).await;
-            let load = behaviour.said_load.unwrap_or(busy);
+            let load = behaviour.reported_load.unwrap_or(busy);
             return Some(Response::new(TargetBody::whole(load.to_string().into_bytes())));
         }
         "/standin/behave" => {
@@ -322,7 +324,7 @@
 impl<'a> BusySlot<'a> {
     fn take(shared: &'a Shared) -> Self {
         let busy = shared.busy.fetch_add(1, Ordering::Relaxed) + 1;
-        shared.most_busy.fetch_max(busy, Ordering::Relaxed);
+        shared.max_concurrent_calls.fetch_max(busy, Ordering::Relaxed);
         Self(shared)
     }
 }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -169,7 +169,7 @@
     let fleet = TestFleet::spawn(FleetPlan::default());
     for round in 0..6 {
         let key = format!("k{round}");
-        fleet.faults(|faults| faults.lose_answers = 1);
+        fleet.faults(|faults| faults.unanswered_writes = 1);
         let call = fleet.post(&key, "/bulletin?size=100");
         let report = fleet.repeat_until_final(round % 3, &call);
         assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -48,7 +48,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, slots: 1, ..FleetPlan::default() });
     // It says that it takes more at once than it does, and sheds the rest.
     fleet.targets[0].behave(|behaviour| {
-        behaviour.said_slots = Some(8);
+        behaviour.reported_slots = Some(8);
         behaviour.shed_above = Some(0);
     });
     common::eventually("the guard heard of the slots", || {
--- a/tests/common/hosted.rs
+++ b/tests/common/hosted.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use railspan_standins::{
-    DaemonPlace, DaemonProcess, DaemonSpec, HostedAnswer, HostedTarget, PlatformLimits,
+    DaemonEndpoints, DaemonProcess, DaemonSpec, HostedResponse, HostedTarget, PlatformLimits,
     PlatformStandin, hosted_call,
 };
 use serde_json::{Value, json};
@@ -45,7 +45,7 @@
             let daemon = fleet.start_daemon(index);
             let name = format!("i-{index}");
             let target = HostedTarget::spawn(SERVICE, &name, work).expect("target");
-            target.report_to(daemon.place().control.expect("control"));
+            target.send_heartbeats_to(daemon.endpoints().control.expect("control"));
             fleet.daemons.push(daemon);
             fleet.targets.push(target);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Starts a daemon at the addresses that an earlier life of it had.
-    pub fn start_daemon_at(&self, index: usize, place: &DaemonPlace) -> DaemonProcess {
+    pub fn start_daemon_at(&self, index: usize, place: &DaemonEndpoints) -> DaemonProcess {
         DaemonProcess::spawn_at(&self.daemon_spec(index), place).expect("daemon")
     }
 
@@ -109,16 +109,16 @@
     }
 
     pub fn control(&self, index: usize) -> SocketAddr {
-        self.daemons[index].place().control.expect("control")
+        self.daemons[index].endpoints().control.expect("control")
     }
 
     pub fn ready(&self, index: usize) -> u16 {
-        let address = self.daemons[index].place().ready.expect("ready");
+        let address = self.daemons[index].endpoints().ready.expect("ready");
         hosted_call(address, "GET", "/readiness", &[], b"").map_or(0, |answer| answer.status)
     }
 
     pub fn state(&self, index: usize) -> Value {
-        let admin = self.daemons[index].place().admin;
+        let admin = self.daemons[index].endpoints().admin;
         let page = hosted_call(admin, "GET", "/state", &[], b"");
         page.ok().and_then(|page| serde_json::from_slice(&page.body).ok()).unwrap_or_default()
     }
@@ -134,7 +134,7 @@
     }
 
     /// Makes a request through a daemon; `None` if it got no whole answer.
-    pub fn call(&self, index: usize, prefix: &str, id: &str) -> Option<HostedAnswer> {
+    pub fn call(&self, index: usize, prefix: &str, id: &str) -> Option<HostedResponse> {
         self.call_within(index, prefix, id, 2_000)
     }
 
@@ -144,7 +144,7 @@
         prefix: &str,
         id: &str,
         deadline_ms: u32,
-    ) -> Option<HostedAnswer> {
+    ) -> Option<HostedResponse> {
         let method = if prefix == SAFE { "GET" } else { "POST" };
         let deadline = deadline_ms.to_string();
         let headers = [
@@ -155,7 +155,7 @@
             ("X-Target-Instance", "forged"),
         ];
         let body: &[u8] = if prefix == SAFE { b"" } else { b"some bytes" };
-        let caller = self.daemons[index].place().caller;
+        let caller = self.daemons[index].endpoints().caller;
         hosted_call(caller, method, &format!("{prefix}{id}"), &headers, body).ok()
     }
 
@@ -197,7 +197,7 @@
         let mut fleet = HostedFleet::spawn(hosts, work);
         let targets = std::mem::take(&mut fleet.targets);
         for target in &targets {
-            target.end_on(DEADLY);
+            target.crash_on_path(DEADLY);
         }
         let lives = Mutex::new(targets.into_iter().enumerate().collect());
         Self { fleet, lives }
@@ -215,11 +215,11 @@
                     *since = None;
                 } else if since.get_or_insert_with(Instant::now).elapsed() >= BACK_AFTER {
                     let name = format!("i-{}", lives.len());
-                    let target = HostedTarget::spawn(SERVICE, &name, lives[0].1.work());
+                    let target = HostedTarget::spawn(SERVICE, &name, lives[0].1.service_time());
                     let target = target.expect("target");
-                    target.end_on(DEADLY);
+                    target.crash_on_path(DEADLY);
                     target.restart(lives.len() as u64);
-                    target.report_to(self.control(host));
+                    target.send_heartbeats_to(self.control(host));
                     lives.push((host, target));
                 }
             }
@@ -228,17 +228,17 @@
     }
 
     /// Sends a copy of the request; its id is that of the attempt.
-    pub fn call_deadly(&self, host: usize, id: &str) -> Option<HostedAnswer> {
+    pub fn call_deadly(&self, host: usize, id: &str) -> Option<HostedResponse> {
         let headers = [("Host", HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000")];
-        hosted_call(self.daemons[host].place().caller, "GET", DEADLY, &headers, b"").ok()
+        hosted_call(self.daemons[host].endpoints().caller, "GET", DEADLY, &headers, b"").ok()
     }
 
     /// Returns when copies of the request began to run, in order.
     pub fn deadly_arrivals(&self) -> Vec<Instant> {
         let lives = self.lives.lock().expect("lives");
         let runs = lives.iter().flat_map(|(_, target)| target.runs());
-        let deadly = runs.filter(|run| run.line.contains(DEADLY));
-        let mut times: Vec<Instant> = deadly.map(|run| run.at).collect();
+        let deadly = runs.filter(|run| run.request_line.contains(DEADLY));
+        let mut times: Vec<Instant> = deadly.map(|run| run.received_at).collect();
         times.sort_unstable();
         times
     }
@@ -250,7 +250,8 @@
 
     /// Kills all daemons and starts them again where they were.
     pub fn restart_daemons(&mut self) {
-        let places: Vec<DaemonPlace> = self.daemons.iter().map(|daemon| *daemon.place()).collect();
+        let places: Vec<DaemonEndpoints> =
+            self.daemons.iter().map(|daemon| *daemon.endpoints()).collect();
         self.fleet.daemons.clear();
         for (index, place) in places.iter().enumerate() {
             let daemon = self.fleet.start_daemon_at(index, place);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,8 +8,9 @@
 
 use railspan::{FleetConfig, RevisionHead, open_store};
 use railspan_standins::{
-    CallReport, CallRequest, CallerClient, DaemonPlace, DaemonProcess, DaemonSpec, PlatformFaults,
-    PlatformLimits, PlatformStandin, TargetOptions, TargetRun, TargetStandin, Verdict, fetch,
+    CallReport, CallRequest, CallerClient, DaemonEndpoints, DaemonProcess, DaemonSpec,
+    PlatformFaults, PlatformLimits, PlatformStandin, TargetOptions, TargetRun, TargetStandin,
+    Verdict, fetch,
 };
 use serde_json::Value;
 use tokio::runtime::Runtime;
@@ -74,7 +75,7 @@
             service: self.plan.service.to_owned(),
             name: format!("target-{index}"),
             address: any(),
-            daemon: daemon.place().admin,
+            daemon: daemon.endpoints().admin,
             slots: self.plan.slots,
             service_us: self.plan.service_us,
             seed: index as u64,
@@ -106,8 +107,8 @@
         self.runtime.block_on(railspan::publish(&client, &config, "test", None))
     }
 
-    pub fn place(&self, index: usize) -> DaemonPlace {
-        *self.daemons[index].place()
+    pub fn place(&self, index: usize) -> DaemonEndpoints {
+        *self.daemons[index].endpoints()
     }
 
     /// Waits until every daemon has every target ready.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -7,7 +7,7 @@
 use railspan_standins::Verdict;
 
 fn everywhere(fleet: &TestFleet, revision: u64) -> bool {
-    fleet.daemons.iter().all(|daemon| fleet.revision(daemon.place().admin) == Some(revision))
+    fleet.daemons.iter().all(|daemon| fleet.revision(daemon.endpoints().admin) == Some(revision))
 }
 
 #[test]
@@ -44,7 +44,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 1, ..FleetPlan::default() });
     for _ in 0..3 {
         // The body's answer is lost first, then the head's.
-        fleet.faults(|faults| faults.lose_answers = 1);
+        fleet.faults(|faults| faults.unanswered_writes = 1);
         let before =
             fleet.runtime.block_on(railspan::read_head(&open_store(fleet.platform.address())));
         let before = before.expect("head").expect("published").0.revision;
@@ -67,11 +67,11 @@
     fleet.faults(|faults| faults.down = true);
     let alone = fleet.start_daemon(8, &[]);
     let seeded = fleet.start_daemon(9, &[fleet.place(0).peer, fleet.place(1).peer]);
-    let admin = seeded.place().admin;
+    let admin = seeded.endpoints().admin;
     eventually("the seeded one serves by revision 2", || fleet.revision(admin) == Some(2));
     // The one that can ask nobody does not serve.
     let call = fleet.read("/r?size=10");
-    let report = fleet.runtime.block_on(fleet.client.call(alone.place().caller, &call));
+    let report = fleet.runtime.block_on(fleet.client.call(alone.endpoints().caller, &call));
     assert_eq!(report.verdict, Verdict::NotRun, "{report:?}");
     fleet.daemons.push(seeded);
     fleet.wait_known(2, 2);
@@ -84,7 +84,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.faults(|faults| faults.objects_missing = true);
     let fresh = fleet.start_daemon(9, &[]);
-    let admin = fresh.place().admin;
+    let admin = fresh.endpoints().admin;
     eventually("the fresh one serves", || fleet.revision(admin) == Some(1));
 }
 
@@ -103,7 +103,7 @@
     let mut seen = 0;
     eventually("in force everywhere", || {
         for daemon in &fleet.daemons {
-            let revision = fleet.revision(daemon.place().admin).unwrap_or(seen);
+            let revision = fleet.revision(daemon.endpoints().admin).unwrap_or(seen);
             assert!(revision >= 1);
         }
         let own = fleet.revision(fleet.place(2).admin).unwrap_or(0);
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -144,7 +144,7 @@
         fleet.call(1, SAFE, "other").is_some_and(|answer| answer.status == 200)
     });
 
-    let admin = fleet.daemons[2].place().admin.to_string();
+    let admin = fleet.daemons[2].endpoints().admin.to_string();
     let railspan = |arguments: &[&str]| {
         let command = std::process::Command::new(env!("CARGO_BIN_EXE_railspan"))
             .args(arguments)
@@ -185,7 +185,7 @@
 fn a_target_that_is_gone_gets_no_calls_though_its_heartbeat_counts() {
     let terms = "heartbeat=60s,retry_budget_ratio=0.2,budget_slack=58,grace=6s";
     let fleet = HostedFleet::spawn_on(2, WORK, terms);
-    fleet.targets[0].end_on(SAFE);
+    fleet.targets[0].crash_on_path(SAFE);
     common::eventually("one target left", || {
         drop(fleet.call(1, SAFE, "any"));
         fleet.state(0)["guard"]["targets"][0]["ready"] == false
--- a/tests/evacuated.rs
+++ b/tests/evacuated.rs
@@ -63,7 +63,7 @@
     // the old addresses by now.
     for index in 0..3 {
         fleet.daemons[index] = fleet.start_daemon(index + 3);
-        fleet.targets[index].report_to(fleet.control(index));
+        fleet.targets[index].send_heartbeats_to(fleet.control(index));
     }
     for index in 0..3 {
         eventually("evacuated anew", || evacuated(&fleet, index) == json!(["ba-norte-2"]));
@@ -103,8 +103,8 @@
 #[test]
 fn rows_of_another_writer_leave_the_others_in_force() {
     let fleet = HostedFleet::spawn(2, WORK);
-    fleet.platform.write_own_row("fleet-member-nobody", b"\xff\x00 no text");
-    fleet.platform.write_own_row("fleet-member-host-9", b"{\"host\":7}");
+    fleet.platform.write_system_row("fleet-member-nobody", b"\xff\x00 no text");
+    fleet.platform.write_system_row("fleet-member-host-9", b"{\"host\":7}");
     fleet.platform.write_operator_row("config", Some(b"{\"version\":\"r9"));
     evacuate(&fleet, "no-such-place");
     for index in 0..2 {
--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -6,7 +6,7 @@
 
 use common::eventually;
 use common::hosted::{HOST, HostedFleet, SAFE, SERVICE, config};
-use railspan_standins::{HostedAnswer, hosted_call};
+use railspan_standins::{HostedResponse, hosted_call};
 use serde_json::{Value, json};
 
 const KEY: &str = "n2ftimaj3nr26tta828m";
@@ -35,12 +35,18 @@
     written.to_string()
 }
 
-fn ask(fleet: &HostedFleet, index: usize, path: &str, key: Option<&str>, id: &str) -> HostedAnswer {
+fn ask(
+    fleet: &HostedFleet,
+    index: usize,
+    path: &str,
+    key: Option<&str>,
+    id: &str,
+) -> HostedResponse {
     let bearer = key.map(|key| format!("Bearer {key}"));
     let mut headers =
         vec![("Host", HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000"), ("X-Tenant-Id", "x")];
     headers.extend(bearer.as_deref().map(|bearer| ("Authorization", bearer)));
-    let caller = fleet.daemons[index].place().caller;
+    let caller = fleet.daemons[index].endpoints().caller;
     hosted_call(caller, "GET", &format!("{path}{id}"), &headers, b"").expect("answer")
 }
 
--- a/tests/hosted_calls.rs
+++ b/tests/hosted_calls.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use common::hosted::{HostedFleet, SAFE, SERVICE, UNSAFE};
-use railspan_standins::{HostedMood, HostedTarget};
+use railspan_standins::{HostedBehaviour, HostedTarget};
 use test_case::test_case;
 
 const WORK: Duration = Duration::from_millis(5);
 
-fn set_all(fleet: &HostedFleet, mood: &HostedMood) {
-    fleet.targets.iter().for_each(|target| target.set_mood(mood.clone()));
+fn set_all(fleet: &HostedFleet, mood: &HostedBehaviour) {
+    fleet.targets.iter().for_each(|target| target.set_behaviour(mood.clone()));
 }
 
 #[test]
@@ -26,7 +26,11 @@
         assert_eq!(answer.headers["x-request-id"], id);
         let runs: Vec<_> = fleet.targets.iter().flat_map(HostedTarget::runs).collect();
         let run = runs.iter().find(|run| run.headers["x-request-id"] == id).expect("run");
-        assert!(run.line.ends_with(&format!("{prefix}{id} HTTP/1.1")), "{}", run.line);
+        assert!(
+            run.request_line.ends_with(&format!("{prefix}{id} HTTP/1.1")),
+            "{}",
+            run.request_line
+        );
         assert_eq!(run.headers["host"], common::hosted::HOST);
         assert_eq!(run.headers["x-caller-service"], SERVICE);
         assert!(run.headers["x-target-instance"].starts_with("i-"));
@@ -35,11 +39,11 @@
     }
 }
 
-#[test_case(&HostedMood::LoseAnswer; "lost")]
-#[test_case(&HostedMood::Foreign; "under another id")]
-#[test_case(&HostedMood::Unsigned; "without its signature")]
-#[test_case(&HostedMood::Truncate; "cut short")]
-fn an_answer_that_is_none_is_never_delivered_and_a_write_runs_once(mood: &HostedMood) {
+#[test_case(&HostedBehaviour::LoseResponse; "lost")]
+#[test_case(&HostedBehaviour::ForeignRequestId; "under another id")]
+#[test_case(&HostedBehaviour::Unsigned; "without its signature")]
+#[test_case(&HostedBehaviour::Truncate; "cut short")]
+fn an_answer_that_is_none_is_never_delivered_and_a_write_runs_once(mood: &HostedBehaviour) {
     let fleet = HostedFleet::spawn(2, WORK);
     set_all(&fleet, mood);
     for number in 0..4 {
@@ -53,7 +57,7 @@
 #[test]
 fn a_lost_read_is_tried_at_another_target() {
     let fleet = HostedFleet::spawn(2, WORK);
-    fleet.targets[0].set_mood(HostedMood::LoseAnswer);
+    fleet.targets[0].set_behaviour(HostedBehaviour::LoseResponse);
     let served = (0..6).filter(|number| {
         let answer = fleet.call(0, SAFE, &format!("read{number}"));
         answer.is_some_and(|answer| answer.status == 200)
@@ -61,9 +65,9 @@
     assert_eq!(served.count(), 6);
 }
 
-#[test_case(&HostedMood::Decline; "full")]
-#[test_case(&HostedMood::OtherTarget; "another target")]
-fn what_no_target_ran_is_refused_with_a_time_to_come_back(mood: &HostedMood) {
+#[test_case(&HostedBehaviour::Decline; "full")]
+#[test_case(&HostedBehaviour::OtherTarget; "another target")]
+fn what_no_target_ran_is_refused_with_a_time_to_come_back(mood: &HostedBehaviour) {
     let fleet = HostedFleet::spawn(2, WORK);
     set_all(&fleet, mood);
     let answer = fleet.call(0, UNSAFE, "refused").expect("answer");
@@ -77,7 +81,7 @@
 #[test]
 fn a_second_answer_on_a_connection_belongs_to_no_call() {
     let fleet = HostedFleet::spawn(1, WORK);
-    fleet.targets[0].set_mood(HostedMood::Twice);
+    fleet.targets[0].set_behaviour(HostedBehaviour::DuplicateResponse);
     for number in 0..10 {
         let id = format!("twice{number}");
         let answer = fleet.call(0, SAFE, &id).expect("answer");
@@ -90,7 +94,7 @@
 #[test]
 fn a_failure_of_a_target_is_delivered_as_it_is() {
     let fleet = HostedFleet::spawn(1, WORK);
-    fleet.targets[0].set_mood(HostedMood::Fail);
+    fleet.targets[0].set_behaviour(HostedBehaviour::ServerError);
     let answer = fleet.call(0, UNSAFE, "failed").expect("answer");
     assert_eq!((answer.status, answer.headers["x-server-signature"].as_str()), (500, "3e1b.07"));
 }
@@ -118,8 +122,8 @@
         assert_eq!(fleet.call(0, SAFE, &format!("warm{number}")).expect("answer").status, 200);
     }
     for target in &fleet.targets {
-        target.set_work(Duration::from_millis(250));
-        target.set_mood(HostedMood::LoseAnswer);
+        target.set_service_time(Duration::from_millis(250));
+        target.set_behaviour(HostedBehaviour::LoseResponse);
     }
     let answer = fleet.call(0, SAFE, "lost").expect("answer");
     assert_eq!(answer.status, 504);
@@ -130,7 +134,7 @@
 #[test]
 fn the_first_reads_of_a_route_do_not_wait_for_a_target_that_hangs() {
     let fleet = HostedFleet::spawn(2, WORK);
-    fleet.targets[0].set_work(Duration::from_secs(5));
+    fleet.targets[0].set_service_time(Duration::from_secs(5));
     let statuses: Vec<u16> = std::thread::scope(|scope| {
         let calls: Vec<_> = (0..6)
             .map(|number| {
--- a/tests/hosted_life.rs
+++ b/tests/hosted_life.rs
@@ -7,7 +7,7 @@
 
 use common::eventually;
 use common::hosted::{HostedFleet, SAFE, UNSAFE, config};
-use railspan_standins::{HostedMood, HostedTarget, PlatformFaults};
+use railspan_standins::{HostedBehaviour, HostedTarget, PlatformFaults};
 
 const WORK: Duration = Duration::from_millis(5);
 
@@ -20,7 +20,7 @@
     let answer = std::thread::scope(|scope| {
         let call = scope.spawn(|| fleet.call(0, UNSAFE, "under-way"));
         std::thread::sleep(UNDER_WAY);
-        fleet.daemons[0].hang_up().expect("signal");
+        fleet.daemons[0].request_reload().expect("signal");
         call.join().expect("thread")
     });
     assert_eq!(answer.expect("answer").status, 200);
@@ -49,7 +49,7 @@
     assert_eq!(fleet.targets[0].drain(fleet.control(0)).expect("drain"), 200);
     let before = fleet.targets[0].runs().len();
     // A heartbeat from before the drain comes late.
-    assert_eq!(fleet.targets[0].send_late_beat(fleet.control(0)).expect("beat"), 200);
+    assert_eq!(fleet.targets[0].send_stale_heartbeat(fleet.control(0)).expect("beat"), 200);
     for number in 0..20 {
         let answer = fleet.call(number % 2, SAFE, &format!("drained{number}")).expect("answer");
         assert_eq!(answer.status, 200);
@@ -61,7 +61,7 @@
 fn a_target_that_left_stays_gone() {
     let fleet = HostedFleet::spawn(2, WORK);
     assert_eq!(fleet.targets[1].leave(fleet.control(1)).expect("leave"), 200);
-    assert_eq!(fleet.targets[1].send_late_beat(fleet.control(1)).expect("beat"), 200);
+    assert_eq!(fleet.targets[1].send_stale_heartbeat(fleet.control(1)).expect("beat"), 200);
     for number in 0..20 {
         let answer = fleet.call(number % 2, SAFE, &format!("left{number}")).expect("answer");
         assert_eq!(answer.status, 200);
@@ -97,7 +97,7 @@
 fn a_daemon_started_while_the_store_is_away_is_found_and_serves() {
     let mut fleet = HostedFleet::spawn(3, WORK);
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
-    let place = *fleet.daemons[2].place();
+    let place = *fleet.daemons[2].endpoints();
     fleet.daemons[2].kill().expect("kill");
     fleet.daemons[2] = fleet.start_daemon_at(2, &place);
     eventually("the restarted daemon serves", || fleet.ready(2) == 200);
@@ -130,7 +130,7 @@
     for number in 0..20 {
         assert_eq!(fleet.call(0, SAFE, &format!("warm{number}")).expect("answer").status, 200);
     }
-    fleet.targets[1].tell_slowness(400);
+    fleet.targets[1].set_reported_slowness(400);
     eventually("the entry hears of it", || {
         // Only what is in use is watched.
         drop(fleet.call(1, SAFE, "use"));
@@ -143,7 +143,7 @@
     let fleet = HostedFleet::spawn(1, WORK);
     let stranger = HostedTarget::spawn("grillas", "i-stranger", WORK).expect("target");
     assert_eq!(stranger.leave(fleet.control(0)).expect("leave"), 200);
-    assert_eq!(stranger.send_late_beat(fleet.control(0)).expect("beat"), 200);
+    assert_eq!(stranger.send_stale_heartbeat(fleet.control(0)).expect("beat"), 200);
     let state = fleet.state(0);
     let known = state["guard"]["targets"].as_array().expect("targets");
     assert_eq!(known.len(), 1, "the late heartbeat brought it back: {known:?}");
@@ -152,7 +152,7 @@
 #[test]
 fn a_target_whose_address_is_anothers_is_given_up() {
     let fleet = HostedFleet::spawn(1, WORK);
-    fleet.targets[0].set_mood(HostedMood::OtherTarget);
+    fleet.targets[0].set_behaviour(HostedBehaviour::OtherTarget);
     assert_eq!(fleet.call(0, SAFE, "moved").expect("answer").status, 503);
     eventually("no target is left", || {
         fleet.state(0)["entry"]["services"][common::hosted::SERVICE].is_null()
@@ -167,7 +167,7 @@
     let mut daemons: Vec<_> = (1..=12)
         .map(|index| {
             let daemon = fleet.start_daemon(index);
-            daemon.hang_up().expect("signal");
+            daemon.request_reload().expect("signal");
             daemon.terminate().expect("signal");
             daemon
         })
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -18,9 +18,9 @@
     let mut fleet = HostedFleet::spawn(2, WORK);
     fleet.daemons[1].kill().expect("kill");
     fleet.daemons[1] = fleet.start_daemon_behind(1, guard.address(), peer.address());
-    guard.lead_to(fleet.daemons[1].place().guard);
-    peer.lead_to(fleet.daemons[1].place().peer);
-    fleet.targets[1].report_to(fleet.control(1));
+    guard.set_upstream(fleet.daemons[1].endpoints().guard);
+    peer.set_upstream(fleet.daemons[1].endpoints().peer);
+    fleet.targets[1].send_heartbeats_to(fleet.control(1));
     fleet.wait_known(0, 2);
     assert_eq!(fleet.targets[0].leave(fleet.control(0)).expect("leave"), 200);
     fleet.wait_known(0, 1);
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -129,8 +129,8 @@
     }
     for arrival in runs {
         let run = &arrival.run;
-        if run.line != note.line || run.body != note.body {
-            faults.push(format!("arrived changed: {}", run.line));
+        if run.request_line != note.line || run.body != note.body {
+            faults.push(format!("arrived changed: {}", run.request_line));
         }
         if arrival.service != note.service {
             faults.push(format!("ran at a target of {}", arrival.service));
@@ -142,20 +142,20 @@
             faults.push(format!("meant for {}", header(run, "x-target-instance")));
         }
         // What a daemon that stood still was sent, it can't know the age of.
-        let frozen = fleet.hosts[note.host].was_frozen(note.sent, run.at);
+        let frozen = fleet.hosts[note.host].was_frozen(note.sent, run.received_at);
         let left = header(run, "x-deadline-ms").parse().map(Duration::from_millis);
         // A guard that stood still after it had reckoned the time wrote it late: then
         // the time counts from the moment at which it stopped.
-        let reckoned = fleet.hosts[arrival.host].first_freeze(note.sent, run.at);
-        let end = left.clone().map(|left| reckoned.unwrap_or(run.at) + left);
+        let reckoned = fleet.hosts[arrival.host].first_freeze(note.sent, run.received_at);
+        let end = left.clone().map(|left| reckoned.unwrap_or(run.received_at) + left);
         let last = note.sent + note.deadline + DEADLINE_SLACK;
         if end.is_err() || end.is_ok_and(|end| end > last && !frozen) {
-            let late = run.at.saturating_duration_since(note.sent);
+            let late = run.received_at.saturating_duration_since(note.sent);
             let told =
                 format!("{left:?} left, read {late:?} after it was sent, of {:?}", note.deadline);
             faults.push(format!("a target got more time than is left: {told}"));
         }
-        if matches!(note.end, RequestEnd::GaveUp) && run.at > note.ended + LEFT_BOUND {
+        if matches!(note.end, RequestEnd::GaveUp) && run.received_at > note.ended + LEFT_BOUND {
             faults.push("arrived long after its client left".to_owned());
         }
     }
@@ -178,7 +178,8 @@
 fn judge_drains(drains: &[DrainNote], arrivals: &[Arrival], findings: &mut Vec<String>) {
     for drain in drains {
         let late = |arrival: &&Arrival| {
-            arrival.target == drain.target && arrival.run.at > drain.acknowledged + DRAIN_BOUND
+            arrival.target == drain.target
+                && arrival.run.received_at > drain.acknowledged + DRAIN_BOUND
         };
         let late = arrivals.iter().filter(late).count();
         if late > 0 {
@@ -225,7 +226,7 @@
 ) {
     let mut again: Vec<Instant> = Vec::new();
     for runs in by_id.values() {
-        let mut times: Vec<Instant> = runs.iter().map(|arrival| arrival.run.at).collect();
+        let mut times: Vec<Instant> = runs.iter().map(|arrival| arrival.run.received_at).collect();
         times.sort_unstable();
         again.extend(times.iter().skip(1));
     }
--- a/tests/soak/deadly.rs
+++ b/tests/soak/deadly.rs
@@ -78,18 +78,18 @@
 
 /// Judges over the whole fleet what arrived after the third crash.
 pub fn judge(fleet: &SoakFleet, arrivals: &[Arrival], findings: &mut Vec<String>) {
-    let own = |arrival: &&Arrival| arrival.run.line.contains(DEADLY);
+    let own = |arrival: &&Arrival| arrival.run.request_line.contains(DEADLY);
     let mut runs: Vec<&Arrival> = arrivals.iter().filter(own).collect();
-    runs.sort_unstable_by_key(|arrival| arrival.run.at);
+    runs.sort_unstable_by_key(|arrival| arrival.run.received_at);
     println!("{} copies ran", runs.len());
-    let Some(third) = runs.get(CRASHES - 1).map(|arrival| arrival.run.at) else { return };
+    let Some(third) = runs.get(CRASHES - 1).map(|arrival| arrival.run.received_at) else { return };
     // A daemon that was started, stood still or lost its links is not in touch.
     let in_touch = |arrival: &&Arrival| {
-        let at = arrival.run.at;
+        let at = arrival.run.received_at;
         let since = at.checked_sub(STABILITY).unwrap_or(at);
         !fleet.was_troubled(arrival.host, since, at)
     };
-    let late = runs.iter().copied().filter(|arrival| arrival.run.at > third + STABILITY);
+    let late = runs.iter().copied().filter(|arrival| arrival.run.received_at > third + STABILITY);
     let late = late.filter(in_touch).count();
     if late > LATER_COPIES {
         findings.push(format!("{late} copies arrived late, of {}", runs.len()));
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use railspan_standins::{
-    DaemonPlace, DaemonProcess, DaemonSpec, FaultyLink, HostedMood, HostedTarget, PlatformFaults,
-    PlatformLimits, PlatformStandin,
+    DaemonEndpoints, DaemonProcess, DaemonSpec, FaultyLink, HostedBehaviour, HostedTarget,
+    PlatformFaults, PlatformLimits, PlatformStandin,
 };
 use serde_json::{Value, json};
 use tokio::runtime::Handle;
@@ -114,7 +114,7 @@
             store: bind(false),
             target: bind(false),
         };
-        links.store.lead_to(self.platform.address());
+        links.store.set_upstream(self.platform.address());
         let target = self.spawn_target(service, &links.target);
         let spec = DaemonSpec {
             command: vec![env!("CARGO_BIN_EXE_railspand").into()],
@@ -136,9 +136,9 @@
             })),
         };
         let daemon = DaemonProcess::spawn(&spec).expect("daemon");
-        let place = *daemon.place();
-        links.guard.lead_to(place.guard);
-        links.peer.lead_to(place.peer);
+        let place = *daemon.endpoints();
+        links.guard.set_upstream(place.guard);
+        links.peer.set_upstream(place.peer);
         self.report(&target, &links.target, &place);
         SoakHost {
             service,
@@ -159,10 +159,10 @@
         let target = HostedTarget::spawn(service, &format!("i-{number}"), WORK).expect("target");
         target.restart(number + 1);
         if self.deadly {
-            target.end_on(DEADLY);
+            target.crash_on_path(DEADLY);
         }
         let target = Arc::new(target);
-        link.lead_to(target.address());
+        link.set_upstream(target.address());
         let ran = SoakTarget { target: Arc::clone(&target), link: link.address() };
         lock(&self.targets).push(ran);
         target
@@ -197,7 +197,7 @@
             Trouble::Freeze => freeze(host, planned.lasts),
             Trouble::Stop => self.stop(host),
             // A process that has just been killed is told nothing.
-            Trouble::HangUp => drop(lock(&host.daemon).hang_up()),
+            Trouble::HangUp => drop(lock(&host.daemon).request_reload()),
             Trouble::Delay(kind, millis) => {
                 host.links.of(*kind).delay(*millis);
                 std::thread::sleep(planned.lasts);
@@ -213,22 +213,22 @@
                 self.spoil_store(planned.lasts, |faults| faults.slow_ms = 400);
             }
             Trouble::StoreLosesAnswers => {
-                self.spoil_store(planned.lasts, |faults| faults.lose_answers = 20);
+                self.spoil_store(planned.lasts, |faults| faults.unanswered_writes = 20);
             }
             Trouble::StoreForgets => {
                 self.spoil_store(planned.lasts, |faults| faults.history_gone = true);
             }
             Trouble::Mood(mood) => {
                 let target = Arc::clone(&lock(&host.target));
-                target.set_mood(mood.clone());
+                target.set_behaviour(mood.clone());
                 std::thread::sleep(planned.lasts);
-                target.set_mood(HostedMood::Answer);
+                target.set_behaviour(HostedBehaviour::Answer);
             }
             Trouble::SlowTarget => {
                 let target = Arc::clone(&lock(&host.target));
-                target.set_work(SLOW_WORK);
+                target.set_service_time(SLOW_WORK);
                 std::thread::sleep(planned.lasts);
-                target.set_work(WORK);
+                target.set_service_time(WORK);
             }
             Trouble::ReplaceTarget => self.replace_target(host),
             Trouble::CrashTarget => {
@@ -318,9 +318,9 @@
         self.report(present, &host.links.target, &host.place);
     }
 
-    fn report(&self, target: &HostedTarget, link: &FaultyLink, place: &DaemonPlace) {
+    fn report(&self, target: &HostedTarget, link: &FaultyLink, place: &DaemonEndpoints) {
         let address = if self.deadly { target.address() } else { link.address() };
-        target.report_as(address, place.control.expect("control"));
+        target.send_heartbeats_as(address, place.control.expect("control"));
     }
 
     fn configure(&self) {
@@ -344,7 +344,7 @@
             TargetTurn::Reborn => target.restart(self.number.fetch_add(1, Ordering::Relaxed) + 1),
             TargetTurn::Cold(lasts) => {
                 let from = Instant::now();
-                target.turn_cold(lasts);
+                target.set_cold_for(lasts);
                 let name = target.name().to_owned();
                 let note = ColdNote { target: name, host, from, to: from + lasts };
                 lock(&self.colds).push(note);
@@ -358,7 +358,7 @@
             for kind in [LinkKind::Guard, LinkKind::Peer, LinkKind::Store, LinkKind::Target] {
                 host.links.of(kind).heal();
             }
-            lock(&host.target).set_mood(HostedMood::Answer);
+            lock(&host.target).set_behaviour(HostedBehaviour::Answer);
         }
         self.platform.set_faults(PlatformFaults::default());
     }
--- a/tests/soak/host.rs
+++ b/tests/soak/host.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use railspan_standins::{
-    DaemonPlace, DaemonProcess, DaemonSpec, FaultyLink, HostedTarget, LinkWay, hosted_call,
+    DaemonEndpoints, DaemonProcess, DaemonSpec, FaultyLink, HostedTarget, LinkDirection,
+    hosted_call,
 };
 
 use super::plan::LinkKind;
@@ -37,7 +38,7 @@
 /// One host with its daemon and its present target.
 pub struct SoakHost {
     pub service: &'static str,
-    pub place: DaemonPlace,
+    pub place: DaemonEndpoints,
     /// Grows with each start of the daemon.
     pub life: AtomicU64,
     /// When the daemon stood still, from and to.
@@ -108,7 +109,7 @@
     }
 }
 
-pub fn cut(link: &FaultyLink, way: LinkWay, lasts: Duration) {
+pub fn cut(link: &FaultyLink, way: LinkDirection, lasts: Duration) {
     link.cut(way, true);
     std::thread::sleep(lasts);
     link.cut(way, false);
--- a/tests/soak/places.rs
+++ b/tests/soak/places.rs
@@ -130,9 +130,12 @@
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let from = cold.from + COLD_KNOWN_AFTER;
     let own = |arrival: &&Arrival| {
-        arrival.target == cold.target && arrival.run.at >= from && arrival.run.at < cold.to
+        arrival.target == cold.target
+            && arrival.run.received_at >= from
+            && arrival.run.received_at < cold.to
     };
-    let times: Vec<Instant> = arrivals.iter().filter(own).map(|arrival| arrival.run.at).collect();
+    let times: Vec<Instant> =
+        arrivals.iter().filter(own).map(|arrival| arrival.run.received_at).collect();
     let most = times.iter().map(|start| {
         let within = |at: &&Instant| **at >= *start && **at < *start + Duration::from_secs(1);
         times.iter().filter(within).count()
@@ -152,7 +155,7 @@
 ) {
     let late = arrivals.iter().filter(|arrival| {
         let host = &fleet.hosts[arrival.host];
-        let at = arrival.run.at;
+        let at = arrival.run.received_at;
         arrival.host % CENTRES == note.centre
             && at > note.from + EVACUATED_AFTER
             && at < note.to
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use railspan_standins::{HostedMood, LinkWay};
+use railspan_standins::{HostedBehaviour, LinkDirection};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -50,7 +50,7 @@
     /// A link holds up what passes.
     Delay(LinkKind, u64),
     /// A link lets nothing pass one way.
-    Cut(LinkKind, LinkWay),
+    Cut(LinkKind, LinkDirection),
     /// All connections of a link are reset.
     Reset(LinkKind),
     /// All connections of a link fall silent for good.
@@ -64,7 +64,7 @@
     /// The store forgets its history.
     StoreForgets,
     /// The target answers wrongly.
-    Mood(HostedMood),
+    Mood(HostedBehaviour),
     /// The target's work takes longer.
     SlowTarget,
     /// The target says that it drains, leaves, and another one starts.
@@ -179,8 +179,8 @@
     kinds[rng.random_range(0..kinds.len())]
 }
 
-fn draw_way(rng: &mut Pcg64Mcg) -> LinkWay {
-    if rng.random() { LinkWay::Inward } else { LinkWay::Outward }
+fn draw_way(rng: &mut Pcg64Mcg) -> LinkDirection {
+    if rng.random() { LinkDirection::Inbound } else { LinkDirection::Outbound }
 }
 
 fn draw_store(rng: &mut Pcg64Mcg) -> Trouble {
@@ -192,15 +192,15 @@
     }
 }
 
-fn draw_mood(rng: &mut Pcg64Mcg) -> HostedMood {
+fn draw_mood(rng: &mut Pcg64Mcg) -> HostedBehaviour {
     let moods = [
-        HostedMood::LoseAnswer,
-        HostedMood::Foreign,
-        HostedMood::Unsigned,
-        HostedMood::Decline,
-        HostedMood::Truncate,
-        HostedMood::Twice,
-        HostedMood::Fail,
+        HostedBehaviour::LoseResponse,
+        HostedBehaviour::ForeignRequestId,
+        HostedBehaviour::Unsigned,
+        HostedBehaviour::Decline,
+        HostedBehaviour::Truncate,
+        HostedBehaviour::DuplicateResponse,
+        HostedBehaviour::ServerError,
     ];
     moods[rng.random_range(0..moods.len())].clone()
 }
