--- a/standins/src/bucket.rs
+++ b/standins/src/bucket.rs
@@ -1,27 +1,28 @@
-//! A limit of requests in a second.
+//! A token bucket that limits the request rate.
 
 use std::time::Instant;
 
-/// Grants so many requests a second, and a second's worth at once.
+/// A bucket that holds at most the tokens of one second.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
-    level: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled: Instant,
 }
 
 impl TokenBucket {
     pub(crate) fn full(per_s: f64) -> Self {
-        Self { level: per_s, filled: Instant::now() }
+        Self { tokens: per_s, refilled: Instant::now() }
     }
 
-    pub(crate) fn take(&mut self, per_s: f64) -> bool {
+    /// Refills the bucket and takes one token; `false` if there is none.
+    pub(crate) fn try_take(&mut self, per_s: f64) -> bool {
         let now = Instant::now();
-        let passed = now.duration_since(self.filled).as_secs_f64();
-        self.level = (self.level + passed * per_s).min(per_s);
-        self.filled = now;
-        let granted = self.level >= 1.0;
+        let elapsed = now.duration_since(self.refilled).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * per_s).min(per_s);
+        self.refilled = now;
+        let granted = self.tokens >= 1.0;
         if granted {
-            self.level -= 1.0;
+            self.tokens -= 1.0;
         }
         granted
     }
--- a/standins/src/hosted_client.rs
+++ b/standins/src/hosted_client.rs
@@ -1,33 +1,36 @@
-//! A client as the users' platform has them: one request after the other.
+//! A blocking HTTP/1.1 client, as on the users' platform: one request at a time
+//! for each connection.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+/// First line of a request or response, and its headers by lower-case name.
 pub(crate) type Head = (String, HashMap<String, String>);
 
-/// Longest wait of the client for one answer.
-const CLIENT_LIMIT: Duration = Duration::from_secs(20);
+/// Longest wait of [`hosted_call`] for data of a response.
+const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the client got.
+/// A response as the client received it.
 #[derive(Clone, Debug)]
 pub struct HostedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body, whole.
+    /// The complete body.
     pub body: Vec<u8>,
     /// Time from the first byte sent to the last one received.
     pub took: Duration,
 }
 
-/// Makes one HTTP request on a connection of its own.
+/// Makes one HTTP request on a new connection.
 ///
 /// # Errors
 ///
-/// Fails when the connection breaks before the answer is whole.
+/// Fails when the connection breaks, or no data comes for 20 seconds, before the
+/// response is complete.
 pub fn hosted_call(
     address: SocketAddr,
     method: &str,
@@ -35,34 +38,34 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> io::Result<HostedResponse> {
-    HostedConnection::open(address, CLIENT_LIMIT)?.call(method, path, headers, body)
+    HostedConnection::open(address, CLIENT_READ_TIMEOUT)?.call(method, path, headers, body)
 }
 
-/// A client's connection, for one request after the other.
+/// A client's connection, which carries one request at a time.
 #[derive(Debug)]
 pub struct HostedConnection {
     reader: BufReader<TcpStream>,
 }
 
 impl HostedConnection {
-    /// Connects, and waits at most `limit` for each answer.
+    /// Connects; each later read waits at most `read_timeout` for data.
     ///
     /// # Errors
     ///
-    /// Fails when nobody listens there.
-    pub fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
+    /// Fails when nothing listens at the address.
+    pub fn open(address: SocketAddr, read_timeout: Duration) -> io::Result<Self> {
         let socket = TcpStream::connect(address)?;
-        socket.set_read_timeout(Some(limit))?;
+        socket.set_read_timeout(Some(read_timeout))?;
         socket.set_nodelay(true)?;
         Ok(Self { reader: BufReader::new(socket) })
     }
 
-    /// Makes one request.
+    /// Sends one request and reads its response.
     ///
     /// # Errors
     ///
-    /// Fails when the connection breaks before the answer is whole, or when it
-    /// does not come in time.
+    /// Fails when the connection breaks before the response is complete, or when
+    /// no data comes within the read timeout.
     pub fn call(
         &mut self,
         method: &str,
@@ -91,7 +94,7 @@
     }
 }
 
-/// Reads a head's first line and headers; nothing at the end of the stream.
+/// Reads the first line and the headers; `None` at the end of the stream.
 pub(crate) fn read_head(reader: &mut impl BufRead) -> io::Result<Option<Head>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! A tiny HTTP server loop on a thread of its own.
+//! A small HTTP server on its own worker thread.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -13,12 +13,12 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::Semaphore;
 
-/// Makes a runtime with one worker thread, which ends when it is dropped.
+/// Creates a runtime with one worker thread; dropping the runtime ends the thread.
 pub(crate) fn runtime() -> io::Result<Runtime> {
     Builder::new_multi_thread().worker_threads(1).enable_all().build()
 }
 
-/// Binds an address; returns the listener and where it listens.
+/// Binds an address; returns the listener and the address that it got.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -26,16 +26,17 @@
     Ok((listener, address))
 }
 
-/// What connections cost.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Connections served at once; more wait.
-    pub(crate) at_once: usize,
-    /// Time it takes to open one.
-    pub(crate) open: Duration,
+    /// Connections served at the same time; further ones wait.
+    pub(crate) max_concurrent: usize,
+    /// Delay before a new connection is served.
+    pub(crate) open_delay: Duration,
 }
 
-/// Serves `answer` on the listener; `None` closes the connection unanswered.
+/// Serves requests with `answer`; where it returns `None`, the connection is closed
+/// without a response.
 pub(crate) async fn serve<F, Fut, B>(listener: TcpListener, limits: ConnectionLimits, answer: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Send + Sync + 'static,
@@ -46,24 +47,24 @@
 {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     let answer = Arc::new(answer);
-    let places = Arc::new(Semaphore::new(limits.at_once));
+    let permits = Arc::new(Semaphore::new(limits.max_concurrent));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((socket, _)) = listener.accept().await else { continue };
         drop(socket.set_nodelay(true));
         let answer = Arc::clone(&answer);
         tokio::spawn(async move {
-            tokio::time::sleep(limits.open).await;
+            tokio::time::sleep(limits.open_delay).await;
             let serve = service_fn(move |request| {
                 let answer = Arc::clone(&answer);
-                async move { answer(request).await.ok_or_else(lost) }
+                async move { answer(request).await.ok_or_else(response_dropped) }
             });
             drop(http1::Builder::new().serve_connection(TokioIo::new(socket), serve).await);
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-fn lost() -> io::Error {
-    io::Error::other("answer lost on purpose")
+fn response_dropped() -> io::Error {
+    io::Error::other("response dropped on purpose")
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform, a target and a caller.
+//! Test doubles for what railspan runs between: the platform, targets and callers.
 
 mod bucket;
 mod caller;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -23,7 +23,7 @@
 use crate::http;
 
 const CONNECTIONS: http::ConnectionLimits =
-    http::ConnectionLimits { at_once: 10_000, open: Duration::ZERO };
+    http::ConnectionLimits { max_concurrent: 10_000, open_delay: Duration::ZERO };
 
 /// Table that only the operator writes.
 pub(crate) const OPERATOR_TABLE: &str = "op";
@@ -242,9 +242,9 @@
 impl State {
     fn admit(&mut self, writes: bool) -> bool {
         if writes {
-            self.writes.take(self.limits.writes_per_s)
+            self.writes.try_take(self.limits.writes_per_s)
         } else {
-            self.reads.take(self.limits.reads_per_s)
+            self.reads.try_take(self.limits.reads_per_s)
         }
     }
 
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -14,10 +14,10 @@
 use serde_json::{Value, json};
 use tempfile::NamedTempFile;
 
-/// Set to let daemons' logs through to standard error.
+/// Environment variable; if set, daemons' logs go to standard error.
 const LOGS_VARIABLE: &str = "RAILSPAN_LOGS";
 
-/// What a daemon is started with.
+/// How a daemon is started.
 #[derive(Clone, Debug)]
 pub struct DaemonSpec {
     /// The program and the arguments before the settings file.
@@ -26,83 +26,85 @@
     pub host: String,
     /// The data centre's name.
     pub data_centre: String,
-    /// The platform.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// Where other daemons reach its guard and its peer duty, if not directly.
+    /// Addresses of the guard and of gossip that other daemons use, if they differ
+    /// from those that the daemon listens at.
     pub advertised: Option<(SocketAddr, SocketAddr)>,
-    /// Peers to ask when the platform is down.
+    /// Peers that the daemon asks while the platform is down.
     pub seeds: Vec<SocketAddr>,
-    /// Longest planned stop, in milliseconds.
+    /// Upper bound on the duration of a planned stop, in milliseconds.
     pub stop_bound_ms: u64,
     /// Seed of the daemon's random numbers.
     pub seed: u64,
-    /// Where its log goes, if anywhere; added to what stands there.
+    /// File that its log is appended to, if any.
     pub log_file: Option<PathBuf>,
-    /// Settings of the platform that it is deployed on, if any.
+    /// The `deployment` part of its settings: the users' platform that it runs on,
+    /// if any.
     pub deployment: Option<Value>,
 }
 
-/// Where a daemon listens.
+/// The addresses at which a daemon listens.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct DaemonEndpoints {
     /// For callers.
     pub caller: SocketAddr,
-    /// For other daemons' entries.
+    /// For calls from the entries of other daemons.
     pub guard: SocketAddr,
     /// For gossip.
     pub peer: SocketAddr,
-    /// For operators and targets.
+    /// For operators, and for announcements of targets.
     pub admin: SocketAddr,
-    /// For the platform's question whether it is ready.
+    /// For readiness checks of the users' platform.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// For the reports of the host's target.
+    /// For heartbeats of the target on the same host.
     #[serde(default)]
     pub control: Option<SocketAddr>,
 }
 
-/// A daemon as a process of its own; killed when dropped.
+/// A daemon in a separate process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct DaemonProcess {
     child: Child,
-    place: DaemonEndpoints,
+    endpoints: DaemonEndpoints,
     _settings: NamedTempFile,
 }
 
 impl DaemonProcess {
-    /// Starts a daemon on loopback ports of the system's choice.
+    /// Starts a daemon on free loopback ports that the operating system chooses.
     ///
     /// # Errors
     ///
-    /// Fails when the process can't be started or does not say where it is.
+    /// Fails when the process can't be started or does not print its addresses.
     pub fn spawn(spec: &DaemonSpec) -> io::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let ports = Some(any).filter(|_any| spec.deployment.is_some());
-        let place = DaemonEndpoints {
+        let if_deployed = Some(any).filter(|_any| spec.deployment.is_some());
+        let endpoints = DaemonEndpoints {
             caller: any,
             guard: any,
             peer: any,
             admin: any,
-            ready: ports,
-            control: ports,
+            ready: if_deployed,
+            control: if_deployed,
         };
-        Self::spawn_at(spec, &place)
+        Self::spawn_at(spec, &endpoints)
     }
 
     /// Starts a daemon at the given addresses.
     ///
     /// # Errors
     ///
-    /// Fails when the process can't be started or does not say where it is.
-    pub fn spawn_at(spec: &DaemonSpec, place: &DaemonEndpoints) -> io::Result<Self> {
+    /// Fails when the process can't be started or does not print its addresses.
+    pub fn spawn_at(spec: &DaemonSpec, endpoints: &DaemonEndpoints) -> io::Result<Self> {
         let mut settings = NamedTempFile::new()?;
         let mut text = json!({
             "host": spec.host,
             "data_centre": spec.data_centre,
-            "caller_address": place.caller,
-            "guard_address": place.guard,
-            "peer_address": place.peer,
-            "admin_address": place.admin,
+            "caller_address": endpoints.caller,
+            "guard_address": endpoints.guard,
+            "peer_address": endpoints.peer,
+            "admin_address": endpoints.admin,
             "platform_address": spec.platform,
             "seeds": spec.seeds,
             "stop_bound_ms": spec.stop_bound_ms,
@@ -114,13 +116,15 @@
         }
         if let Some(deployment) = &spec.deployment {
             text["deployment"] = deployment.clone();
-            text["deployment"]["ready_address"] = json!(place.ready);
-            text["deployment"]["control_address"] = json!(place.control);
+            text["deployment"]["ready_address"] = json!(endpoints.ready);
+            text["deployment"]["control_address"] = json!(endpoints.control);
             text["one_thread"] = json!(true);
         }
         settings.write_all(text.to_string().as_bytes())?;
-        let (program, arguments) =
-            spec.command.split_first().ok_or_else(|| io::Error::other("no program"))?;
+        let (program, arguments) = spec
+            .command
+            .split_first()
+            .ok_or_else(|| io::Error::other("the daemon's command is empty"))?;
         let logs = std::env::var_os(LOGS_VARIABLE).is_some();
         let mut child = Command::new(program)
             .args(arguments)
@@ -136,56 +140,56 @@
             let file = spec.log_file.as_ref();
             let file = file.map(|path| File::options().create(true).append(true).open(path));
             let file = file.transpose()?;
-            std::thread::spawn(move || pass_on(reader, logs, file));
+            std::thread::spawn(move || forward_log(reader, logs, file));
         }
-        let place = serde_json::from_str(&line).map_err(io::Error::other)?;
-        Ok(Self { child, place, _settings: settings })
+        let endpoints = serde_json::from_str(&line).map_err(io::Error::other)?;
+        Ok(Self { child, endpoints, _settings: settings })
     }
 
     /// Returns where the daemon listens.
     #[must_use]
     pub const fn endpoints(&self) -> &DaemonEndpoints {
-        &self.place
+        &self.endpoints
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Stops the process where it stands, without its knowing.
+    /// Suspends the process with SIGSTOP, which it can't notice.
     ///
     /// # Errors
     ///
-    /// Fails when the process is gone.
+    /// Fails when the process has exited and was waited for.
     pub fn freeze(&self) -> io::Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with SIGCONT.
     ///
     /// # Errors
     ///
-    /// Fails when the process is gone.
+    /// Fails when the process has exited and was waited for.
     pub fn thaw(&self) -> io::Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop with SIGTERM.
     ///
     /// # Errors
     ///
-    /// Fails when the process is gone.
+    /// Fails when the process has exited and was waited for.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Says that the settings may have changed.
+    /// Requests with SIGHUP that the daemon reads its settings again.
     ///
     /// # Errors
     ///
-    /// Fails when the process is gone.
+    /// Fails when the process has exited and was waited for.
     pub fn request_reload(&self) -> io::Result<()> {
         self.signal(Signal::SIGHUP)
     }
@@ -200,7 +204,7 @@
         self.child.wait().map(drop)
     }
 
-    /// Waits for the process to end by itself; nothing if it does not in time.
+    /// Waits for the process to exit; `None` if it still runs after `limit`.
     ///
     /// # Errors
     ///
@@ -224,22 +228,22 @@
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // A process that ended already can't be killed, and need not be.
+        // Killing fails if the process has exited already.
         drop(self.kill());
     }
 }
 
-/// Takes a daemon's log lines, so that they never fill its pipe.
-fn pass_on(mut reader: impl BufRead, show: bool, mut file: Option<File>) {
+/// Reads a daemon's log lines, so that its pipe never fills up, and passes them on.
+fn forward_log(mut reader: impl BufRead, to_stderr: bool, mut file: Option<File>) {
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|length| length > 0) {
-        if show {
+        if to_stderr {
             eprint!("{line}");
         }
         if let Some(file) = &mut file
             && let Err(error) = file.write_all(line.as_bytes())
         {
-            eprintln!("a daemon's log is cut off: {error}");
+            eprintln!("can't write a daemon's log file; the rest of its log is lost: {error}");
             return;
         }
         line.clear();
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -27,7 +27,7 @@
 
 /// Connections of a target, and the time to open one.
 const CONNECTIONS: http::ConnectionLimits =
-    http::ConnectionLimits { at_once: 200, open: Duration::from_millis(1) };
+    http::ConnectionLimits { max_concurrent: 200, open_delay: Duration::from_millis(1) };
 
 /// What a target is.
 #[derive(Clone, Debug)]
