--- a/standins/src/hosted.rs
+++ b/standins/src/hosted.rs
@@ -1,6 +1,6 @@
-//! A target as the users' platform runs them.
+//! A target as it runs on the users' platform.
 //!
-//! The target speaks bytes, so that it can also answer wrongly.
+//! It writes responses as raw bytes, so that it can also send invalid ones.
 
 use std::collections::HashMap;
 use std::io::{self, BufReader, Read, Write};
@@ -11,22 +11,22 @@
 
 use serde_json::json;
 
-use crate::hosted_behaviour::{HostedBehaviour, answer};
+use crate::hosted_behaviour::{HostedBehaviour, respond};
 use crate::hosted_client::{hosted_call, read_head};
 
-/// Time between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A request that reached a hosted target.
+/// A request that a hosted target accepted and started to run.
 #[derive(Clone, Debug)]
 pub struct HostedRun {
-    /// Method and path.
+    /// Request line: method, path and HTTP version.
     pub request_line: String,
     /// Headers by lower-case name.
     pub headers: HashMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
-    /// When it came.
+    /// Time of arrival.
     pub received_at: Instant,
 }
 
@@ -34,28 +34,29 @@
 struct HostedState {
     service: String,
     name: String,
-    mood: Mutex<HostedBehaviour>,
-    work: Mutex<Duration>,
+    behaviour: Mutex<HostedBehaviour>,
+    service_time: Mutex<Duration>,
     runs: Mutex<Vec<HostedRun>>,
     sequence: AtomicU64,
-    /// When its present life was born, in milliseconds; zero where it does not tell.
+    /// Start time of its present incarnation, in milliseconds; zero for not reported.
     born: AtomicU64,
-    /// Until when it is cold.
+    /// End of its cold phase, if any.
     cold_until: Mutex<Option<Instant>>,
-    /// What it tells of its host, in percent of the usual time.
-    slowness: AtomicU64,
-    ended: AtomicBool,
+    /// Slowness of its host that it reports, in percent of the usual service time.
+    reported_slowness: AtomicU64,
+    /// Stops the heartbeats.
+    heartbeats_stopped: AtomicBool,
     draining: AtomicBool,
     crashed: AtomicBool,
-    /// Set once nobody is to find its port open.
+    /// Set when the listening socket is to be closed.
     stops_listening: AtomicBool,
-    /// Start of the paths that end it while it runs them, if any do.
-    ends_on: Mutex<Option<String>>,
-    /// Connections that are open; they end with the target.
-    open: Mutex<Vec<TcpStream>>,
+    /// Prefix of the paths whose requests crash the target while it runs them, if any.
+    crash_path: Mutex<Option<String>>,
+    /// Open connections, which are closed when the target crashes.
+    connections: Mutex<Vec<TcpStream>>,
 }
 
-/// A running target; its threads end with it.
+/// A running target; dropping it crashes the target.
 #[derive(Debug)]
 pub struct HostedTarget {
     address: SocketAddr,
@@ -68,168 +69,175 @@
 
 impl HostedState {
     fn crash(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.heartbeats_stopped.store(true, Ordering::Relaxed);
         self.crashed.store(true, Ordering::Relaxed);
-        for socket in lock(&self.open).drain(..) {
-            // One that its peer closed can't be shut down any more.
+        for socket in lock(&self.connections).drain(..) {
+            // Fails if the peer has closed the connection already.
             drop(socket.shutdown(Shutdown::Both));
         }
     }
 
-    /// Tells whether a request ends the target that runs it.
-    fn is_ended_by(&self, line: &str) -> bool {
-        let path = line.split(' ').nth(1).unwrap_or_default();
-        lock(&self.ends_on).as_deref().is_some_and(|start| path.starts_with(start))
+    /// Returns whether a request crashes the target that runs it.
+    fn is_crashed_by(&self, request_line: &str) -> bool {
+        let path = request_line.split(' ').nth(1).unwrap_or_default();
+        lock(&self.crash_path).as_deref().is_some_and(|prefix| path.starts_with(prefix))
     }
 }
 
 impl HostedTarget {
-    /// Starts a target that takes each request `work` long.
+    /// Starts a target that takes `service_time` for each request.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
-    pub fn spawn(service: &str, name: &str, work: Duration) -> io::Result<Self> {
+    /// Fails when no port can be bound.
+    pub fn spawn(service: &str, name: &str, service_time: Duration) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
         let state = Arc::new(HostedState {
             service: service.to_owned(),
             name: name.to_owned(),
-            mood: Mutex::new(HostedBehaviour::Answer),
-            work: Mutex::new(work),
+            behaviour: Mutex::new(HostedBehaviour::Answer),
+            service_time: Mutex::new(service_time),
             runs: Mutex::default(),
             sequence: AtomicU64::new(0),
             born: AtomicU64::new(0),
             cold_until: Mutex::default(),
-            slowness: AtomicU64::new(100),
-            ended: AtomicBool::new(false),
+            reported_slowness: AtomicU64::new(100),
+            heartbeats_stopped: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             crashed: AtomicBool::new(false),
             stops_listening: AtomicBool::new(false),
-            ends_on: Mutex::default(),
-            open: Mutex::default(),
+            crash_path: Mutex::default(),
+            connections: Mutex::default(),
         });
         let shared = Arc::clone(&state);
         std::thread::spawn(move || accept(&listener, &shared));
         Ok(Self { address, state })
     }
 
-    /// Keeps sending heartbeats to a daemon's control address.
+    /// Starts sending heartbeats to a daemon's control address.
     pub fn send_heartbeats_to(&self, control: SocketAddr) {
         self.send_heartbeats_as(self.address, control);
     }
 
-    /// Reports as [`Self::send_heartbeats_to`] does, and says that it listens at `address`.
+    /// Starts sending heartbeats that give `address` as the target's own address, to a
+    /// daemon's control address.
     pub fn send_heartbeats_as(&self, address: SocketAddr, control: SocketAddr) {
         let state = Arc::clone(&self.state);
         std::thread::spawn(move || {
-            while !state.ended.load(Ordering::Relaxed) {
-                // A daemon that is away hears the next one.
-                drop(beat(&state, address, control, "ready"));
-                std::thread::sleep(HEARTBEAT);
+            while !state.heartbeats_stopped.load(Ordering::Relaxed) {
+                // If the daemon is down, the next heartbeat follows anyway.
+                drop(heartbeat(&state, address, control, "ready"));
+                std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
     }
 
-    /// Ends without a word: no heartbeat, no answer, no new connection served.
+    /// Stops without notice: sends no heartbeat and no response any more, and serves
+    /// no new connection.
     pub fn crash(&self) {
         self.state.crash();
     }
 
-    /// Ends as a process that crashes does, while it runs a request of such a path:
-    /// all its connections are gone at once, and nobody listens any more.
-    pub fn crash_on_path(&self, path: &str) {
-        *lock(&self.state.ends_on) = Some(path.to_owned());
+    /// Crashes as a process does, as soon as it runs a request whose path starts with
+    /// `prefix`: all its connections close at once, and nothing listens any more.
+    pub fn crash_on_path(&self, prefix: &str) {
+        *lock(&self.state.crash_path) = Some(prefix.to_owned());
     }
 
-    /// Tells whether it ended without a word.
+    /// Returns whether the target has crashed.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
         self.state.crashed.load(Ordering::Relaxed)
     }
 
-    /// Returns the service it offers.
+    /// Returns the service that the target offers.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.state.service
     }
 
-    /// Returns its name.
+    /// Returns the target's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.state.name
     }
 
-    /// Ends the heartbeats and says `draining` once; returns the status.
+    /// Stops the heartbeats and reports the state `draining` once; returns the HTTP
+    /// status of the response.
     ///
     /// # Errors
     ///
     /// Fails when the daemon can't be reached.
     pub fn drain(&self, control: SocketAddr) -> io::Result<u16> {
-        self.state.ended.store(true, Ordering::Relaxed);
+        self.state.heartbeats_stopped.store(true, Ordering::Relaxed);
         self.state.draining.store(true, Ordering::Relaxed);
-        beat(&self.state, self.address, control, "draining")
+        heartbeat(&self.state, self.address, control, "draining")
     }
 
-    /// Says that it leaves; returns the status.
+    /// Stops the heartbeats and tells the daemon that the target leaves; returns the
+    /// HTTP status of the response.
     ///
     /// # Errors
     ///
     /// Fails when the daemon can't be reached.
     pub fn leave(&self, control: SocketAddr) -> io::Result<u16> {
-        self.state.ended.store(true, Ordering::Relaxed);
+        self.state.heartbeats_stopped.store(true, Ordering::Relaxed);
         let path = format!("/instances/{}/leave", self.state.name);
         Ok(hosted_call(control, "POST", &path, &[], b"")?.status)
     }
 
-    /// Sends one heartbeat that was made long ago; returns the status.
+    /// Sends a heartbeat with the first sequence number, as one that was delayed for
+    /// long; returns the HTTP status of the response.
     ///
     /// # Errors
     ///
     /// Fails when the daemon can't be reached.
     pub fn send_stale_heartbeat(&self, control: SocketAddr) -> io::Result<u16> {
-        send_beat(&self.state, self.address, control, "ready", 1)
+        send_heartbeat(&self.state, self.address, control, "ready", 1)
     }
 
-    /// Starts anew under its name: the numbers of its heartbeats begin again.
+    /// Starts a new incarnation under the same name: the sequence numbers of its
+    /// heartbeats start again. `born` is its start time in milliseconds.
     pub fn restart(&self, born: u64) {
         self.state.born.store(born, Ordering::Relaxed);
         self.state.sequence.store(0, Ordering::Relaxed);
     }
 
-    /// Is cold from now on for some time.
+    /// Makes the target cold for some time from now on.
     pub fn set_cold_for(&self, lasts: Duration) {
         *lock(&self.state.cold_until) = Some(Instant::now() + lasts);
     }
 
-    /// Changes how it answers.
-    pub fn set_behaviour(&self, mood: HostedBehaviour) {
-        *lock(&self.state.mood) = mood;
+    /// Changes how the target responds.
+    pub fn set_behaviour(&self, behaviour: HostedBehaviour) {
+        *lock(&self.state.behaviour) = behaviour;
     }
 
-    /// Changes how long a request takes.
-    pub fn set_service_time(&self, work: Duration) {
-        *lock(&self.state.work) = work;
+    /// Changes the time that each request takes.
+    pub fn set_service_time(&self, service_time: Duration) {
+        *lock(&self.state.service_time) = service_time;
     }
 
-    /// Returns how long a request takes.
+    /// Returns the time that each request takes.
     #[must_use]
     pub fn service_time(&self) -> Duration {
-        *lock(&self.state.work)
+        *lock(&self.state.service_time)
     }
 
-    /// Changes what it tells of its host's speed, in percent of the usual time.
+    /// Changes the slowness of its host that the target reports, in percent of the
+    /// usual service time.
     pub fn set_reported_slowness(&self, percent: u64) {
-        self.state.slowness.store(percent, Ordering::Relaxed);
+        self.state.reported_slowness.store(percent, Ordering::Relaxed);
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which the target listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns all requests that reached it.
+    /// Returns all requests that the target started to run, in order of arrival.
     #[must_use]
     pub fn runs(&self) -> Vec<HostedRun> {
         lock(&self.state.runs).clone()
@@ -237,36 +245,36 @@
 }
 
 impl Drop for HostedTarget {
-    /// A target that outlived its test would report to whoever listens at its
-    /// daemon's port next.
+    /// Crashes the target. If it outlived its test, it would send heartbeats to the
+    /// next process that listens at its daemon's port.
     fn drop(&mut self) {
         self.crash();
     }
 }
 
-fn beat(
+fn heartbeat(
     state: &HostedState,
     address: SocketAddr,
     control: SocketAddr,
-    word: &str,
+    condition: &str,
 ) -> io::Result<u16> {
     let sequence = state.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-    send_beat(state, address, control, word, sequence)
+    send_heartbeat(state, address, control, condition, sequence)
 }
 
-fn send_beat(
+fn send_heartbeat(
     state: &HostedState,
     address: SocketAddr,
     control: SocketAddr,
-    word: &str,
+    condition: &str,
     sequence: u64,
 ) -> io::Result<u16> {
     let mut body = json!({
         "address": address,
         "info": {"service": state.service, "version": "v1", "zone": "z", "slots": 4},
         "status": {
-            "state": word, "sequence": sequence,
-            "cold_remaining": format!("{}ms", cold_left(state).as_millis()),
+            "state": condition, "sequence": sequence,
+            "cold_remaining": format!("{}ms", cold_remaining(state).as_millis()),
         },
     });
     let born = state.born.load(Ordering::Relaxed);
@@ -283,9 +291,9 @@
             return;
         }
         let state = Arc::clone(state);
-        lock(&state.open).extend(socket.try_clone());
+        lock(&state.connections).extend(socket.try_clone());
         std::thread::spawn(move || {
-            // A connection that breaks is the daemon's affair.
+            // A broken connection ends here; the daemon deals with it.
             drop(serve(&socket, &state));
         });
     }
@@ -303,47 +311,49 @@
             return Ok(());
         }
         if line.starts_with("GET /health ") {
-            writer.write_all(health(state).as_bytes())?;
+            writer.write_all(health_response(state).as_bytes())?;
             continue;
         }
         let id = headers.get("x-request-id").cloned().unwrap_or_default();
-        let mut mood = lock(&state.mood).clone();
-        // Meant for the target that had this address before.
+        let mut behaviour = lock(&state.behaviour).clone();
+        // The request is meant for a target that had this address before.
         if headers.get("x-target-instance").is_some_and(|name| *name != state.name) {
-            mood = HostedBehaviour::OtherTarget;
+            behaviour = HostedBehaviour::OtherTarget;
         }
-        if !matches!(mood, HostedBehaviour::Decline | HostedBehaviour::OtherTarget) {
-            let deadly = state.is_ended_by(&line);
+        if !matches!(behaviour, HostedBehaviour::Decline | HostedBehaviour::OtherTarget) {
+            let crashes = state.is_crashed_by(&line);
             let run = HostedRun { request_line: line, headers, body, received_at: Instant::now() };
             lock(&state.runs).push(run);
-            let work = *lock(&state.work);
-            std::thread::sleep(work);
-            if deadly {
+            let service_time = *lock(&state.service_time);
+            std::thread::sleep(service_time);
+            if crashes {
                 state.stops_listening.store(true, Ordering::Relaxed);
-                // Wakes who accepts, so that the port is shut before the answer is lost.
+                // Wakes the accepting thread, so that it closes the port before the
+                // requester sees its connection end.
                 drop(TcpStream::connect(writer.local_addr()?));
                 state.crash();
             }
         }
-        if state.crashed.load(Ordering::Relaxed) || !answer(&mut writer, &mood, &id)? {
+        if state.crashed.load(Ordering::Relaxed) || !respond(&mut writer, &behaviour, &id)? {
             return Ok(());
         }
     }
 }
 
-fn cold_left(state: &HostedState) -> Duration {
+/// Returns the time until the target is warm.
+fn cold_remaining(state: &HostedState) -> Duration {
     let until = *lock(&state.cold_until);
     until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()))
 }
 
-/// Makes the answer to a question for health, which is no run.
-fn health(state: &HostedState) -> String {
-    let slowness = state.slowness.load(Ordering::Relaxed);
+/// Returns the response to a health check, which does not count as a run.
+fn health_response(state: &HostedState) -> String {
+    let slowness = state.reported_slowness.load(Ordering::Relaxed);
     let status =
         if state.draining.load(Ordering::Relaxed) { "503 Service Unavailable" } else { "200 OK" };
     format!(
         "HTTP/1.1 {status}\r\nX-Instance-Id: {}\r\nX-Server-Load: 0,0,4,{slowness}\r\nX-Cold-Ms: {}\r\nContent-Length: 0\r\n\r\n",
         state.name,
-        cold_left(state).as_millis()
+        cold_remaining(state).as_millis()
     )
 }
--- a/standins/src/hosted_behaviour.rs
+++ b/standins/src/hosted_behaviour.rs
@@ -1,68 +1,72 @@
-//! How a hosted target answers, rightly or wrongly.
+//! Correct and faulty responses of a hosted target.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// How a hosted target answers.
+/// How a hosted target responds to requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostedBehaviour {
-    /// As it should.
+    /// It runs the request and sends a correct response.
     Answer,
-    /// It runs the request and closes the connection.
+    /// It runs the request and closes the connection without a response.
     LoseResponse,
-    /// It runs the request and answers under another request's id.
+    /// It runs the request and responds with the id of another request.
     ForeignRequestId,
-    /// It answers a success without its signature.
+    /// It runs the request and responds with a success that lacks its signature.
     Unsigned,
-    /// It says that it did not run the request.
+    /// It rejects the request and says that it did not run it.
     Decline,
-    /// It says that another target has this address.
+    /// It rejects the request and says that another target has this address.
     OtherTarget,
-    /// It breaks off in the middle of the body.
+    /// It runs the request and closes the connection in the middle of the body.
     Truncate,
-    /// It sends a second answer behind the first.
+    /// It runs the request and sends the response twice.
     DuplicateResponse,
-    /// It runs the request and answers with a server error.
+    /// It runs the request and responds with status 500.
     ServerError,
 }
 
-/// Writes the answer; `false` if the connection ends with it.
-pub(crate) fn answer(writer: &mut TcpStream, mood: &HostedBehaviour, id: &str) -> io::Result<bool> {
+/// Writes the response; returns `false` if the connection is to be closed.
+pub(crate) fn respond(
+    writer: &mut TcpStream,
+    behaviour: &HostedBehaviour,
+    id: &str,
+) -> io::Result<bool> {
     let body = format!("body of {id}");
     let signature = "X-Server-Signature: 3e1b.07\r\n";
-    let whole = |status: &str, id: &str, extra: &str| {
+    let response = |status: &str, id: &str, header: &str| {
         format!(
-            "HTTP/1.1 {status}\r\nX-Request-Id: {id}\r\n{extra}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status}\r\nX-Request-Id: {id}\r\n{header}Content-Length: {}\r\n\r\n{body}",
             body.len()
         )
     };
-    let good = whole("200 OK", id, signature);
-    match mood {
+    let correct = response("200 OK", id, signature);
+    match behaviour {
         HostedBehaviour::LoseResponse => return Ok(false),
-        HostedBehaviour::Answer => writer.write_all(good.as_bytes())?,
+        HostedBehaviour::Answer => writer.write_all(correct.as_bytes())?,
         HostedBehaviour::ForeignRequestId => {
-            writer.write_all(whole("200 OK", "another", signature).as_bytes())?;
+            writer.write_all(response("200 OK", "another", signature).as_bytes())?;
         }
-        HostedBehaviour::Unsigned => writer.write_all(whole("200 OK", id, "").as_bytes())?,
+        HostedBehaviour::Unsigned => writer.write_all(response("200 OK", id, "").as_bytes())?,
         HostedBehaviour::ServerError => {
-            let failed = whole("500 Internal Server Error", id, signature);
+            let failed = response("500 Internal Server Error", id, signature);
             writer.write_all(failed.as_bytes())?;
         }
         HostedBehaviour::Decline => {
-            let declined = whole("503 Service Unavailable", id, "X-Not-Executed: 1\r\n");
+            let declined = response("503 Service Unavailable", id, "X-Not-Executed: 1\r\n");
             writer.write_all(declined.as_bytes())?;
         }
         HostedBehaviour::OtherTarget => {
-            let other = whole("421 Misdirected Request", id, "X-Instance-Id: i-other\r\n");
+            let other = response("421 Misdirected Request", id, "X-Instance-Id: i-other\r\n");
             writer.write_all(other.as_bytes())?;
         }
         HostedBehaviour::Truncate => {
-            writer.write_all(&good.as_bytes()[..good.len() - 3])?;
+            writer.write_all(&correct.as_bytes()[..correct.len() - 3])?;
             return Ok(false);
         }
         HostedBehaviour::DuplicateResponse => {
-            writer.write_all(good.as_bytes())?;
-            writer.write_all(good.as_bytes())?;
+            writer.write_all(correct.as_bytes())?;
+            writer.write_all(correct.as_bytes())?;
         }
     }
     Ok(true)
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -1,4 +1,4 @@
-//! A target with slots, speed, faults, and a record of what it ran.
+//! A target with slots, a service time and faults, which records the calls it ran.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,57 +22,59 @@
 
 use crate::http;
 
-/// Interval of the heartbeats to the daemon.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// Interval between two announcements to the daemon.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Connections of a target, and the time to open one.
+/// Limits on connections to a target.
 const CONNECTIONS: http::ConnectionLimits =
     http::ConnectionLimits { max_concurrent: 200, open_delay: Duration::from_millis(1) };
 
-/// What a target is.
+/// How a target is started.
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
     /// The service it offers.
     pub service: String,
     /// Its name.
     pub name: String,
-    /// Where it listens; port 0 for any.
+    /// Address to listen at; port 0 for any free port.
     pub address: SocketAddr,
     /// Admin address of the daemon on its host.
     pub daemon: SocketAddr,
-    /// Calls it runs at once.
+    /// Calls that it runs at the same time.
     pub slots: u16,
-    /// Mean time of a call, in microseconds: an old host's is longer.
+    /// Mean service time of a call, in microseconds; longer on an old host.
     pub service_us: u64,
     /// Seed of its random numbers.
     pub seed: u64,
 }
 
-/// How a target behaves now.
+/// How a target behaves; can be changed while it runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TargetBehaviour {
-    /// What it says of itself: `warming`, `ready` or `draining`.
+    /// Condition that it announces: `warming`, `ready` or `draining`.
     pub condition: String,
-    /// Whether it sends heartbeats.
+    /// Whether it announces itself to its daemon at regular intervals.
     pub heartbeat: bool,
-    /// Factor on the time of each call.
+    /// Factor by which each service time is multiplied.
     pub slowdown: f64,
-    /// Status answered at once instead of running the call, or zero.
-    pub fail_fast: u16,
-    /// Bytes after which a body is cut off, or none.
+    /// Status that it answers at once instead of running a call; zero for none.
+    #[serde(rename = "fail_fast")]
+    pub fail_fast_status: u16,
+    /// Number of bytes after which a response body is cut off, if any.
     pub cut_after: Option<usize>,
-    /// Bytes sent beyond the length that was announced.
-    pub extra: usize,
-    /// Slots it says it has, if not the true number.
+    /// Bytes sent in excess of the `content-length`.
+    #[serde(rename = "extra")]
+    pub extra_bytes: usize,
+    /// Number of slots that it announces, if not the true one.
     #[serde(rename = "said_slots")]
     pub reported_slots: Option<u16>,
-    /// Calls waiting for a slot above which it answers 503 at once.
+    /// It answers 503 at once while more calls than this wait for a slot.
     pub shed_above: Option<usize>,
-    /// Load it reports whatever the true one is.
+    /// Load that it reports, if not the true one.
     #[serde(rename = "said_load")]
     pub reported_load: Option<usize>,
-    /// Age of the load it reports, in milliseconds.
+    /// Age of the load that it reports, in milliseconds.
     pub load_lag_ms: u64,
 }
 
@@ -82,9 +84,9 @@
             condition: "ready".to_owned(),
             heartbeat: true,
             slowdown: 1.0,
-            fail_fast: 0,
+            fail_fast_status: 0,
             cut_after: None,
-            extra: 0,
+            extra_bytes: 0,
             reported_slots: None,
             shed_above: None,
             reported_load: None,
@@ -93,14 +95,15 @@
     }
 }
 
-/// One call that a target began to run.
+/// A call that a target started to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRun {
-    /// The idempotency key, if it had one.
+    /// Idempotency key, if the call had one.
     pub key: Option<String>,
-    /// The path with its query.
+    /// Path with the query.
     pub path: String,
-    /// Whether it ran to its end; false while it runs or if cancelled.
+    /// Whether the call was completed; false while it runs, and if it was cancelled
+    /// or exceeded its deadline.
     pub done: bool,
 }
 
@@ -111,12 +114,12 @@
     runs: Mutex<Vec<TargetRun>>,
     slots: Semaphore,
     waiting: AtomicUsize,
-    busy: AtomicUsize,
+    running: AtomicUsize,
     max_concurrent_calls: AtomicUsize,
     rng: Mutex<Pcg64Mcg>,
 }
 
-/// A running target; it stops when dropped.
+/// A running target, which stops when this is dropped.
 #[derive(Debug)]
 pub struct TargetStandin {
     address: SocketAddr,
@@ -125,11 +128,11 @@
 }
 
 impl TargetStandin {
-    /// Binds the target, serves it, and announces it to its daemon.
+    /// Binds the address, serves calls, and announces the target to its daemon.
     ///
     /// # Errors
     ///
-    /// Fails when the address or a thread can't be had.
+    /// Fails when the address can't be bound or a thread can't be started.
     pub fn spawn(options: TargetOptions) -> io::Result<Self> {
         let (listener, address) = http::bind(options.address)?;
         let shared = Arc::new(Shared {
@@ -137,13 +140,13 @@
             runs: Mutex::default(),
             slots: Semaphore::new(usize::from(options.slots)),
             waiting: AtomicUsize::new(0),
-            busy: AtomicUsize::new(0),
+            running: AtomicUsize::new(0),
             max_concurrent_calls: AtomicUsize::new(0),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(options.seed)),
             options,
         });
         let runtime = http::runtime()?;
-        runtime.spawn(heartbeat(Arc::clone(&shared), address));
+        runtime.spawn(announce(Arc::clone(&shared), address));
         let serving = Arc::clone(&shared);
         runtime.spawn(http::serve(listener, CONNECTIONS, move |request| {
             answer(Arc::clone(&serving), request)
@@ -151,7 +154,7 @@
         Ok(Self { address, shared, _runtime: runtime })
     }
 
-    /// Returns where the target listens.
+    /// Returns the address at which the target listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -162,45 +165,47 @@
         change(&mut lock(&self.shared.behaviour));
     }
 
-    /// Returns every call the target began to run.
+    /// Returns all calls that the target started to run, in order.
     #[must_use]
     pub fn runs(&self) -> Vec<TargetRun> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Returns the most calls that ran at once.
+    /// Returns the largest number of calls that ran at the same time.
     #[must_use]
     pub fn max_concurrent_calls(&self) -> usize {
         self.shared.max_concurrent_calls.load(Ordering::Relaxed)
     }
 }
 
-/// Returns the body that a target answers to a call.
+/// Returns the response body that a target sends for a call.
 ///
-/// It depends on the service, the path with its query and the request's body,
-/// so that no other call's answer can pass for it.
+/// It is derived from the service, the path with its query and the request's body,
+/// so that the answer to another call can't be taken for this one. The `size` in
+/// the query is its length in bytes; 64 without one.
 #[must_use]
 pub fn expected_body(service: &str, path: &str, request: &[u8]) -> Vec<u8> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(service.as_bytes()).update(b"\n").update(path.as_bytes()).update(b"\n");
     hasher.update(request);
-    let mut body = vec![0; number(path, "size").unwrap_or(64) as usize];
+    let mut body = vec![0; query_number(path, "size").unwrap_or(64) as usize];
     hasher.finalize_xof().fill(&mut body);
     body
 }
 
-/// Reads a number from a query, such as `size` in `/grid?size=100`.
-fn number(path: &str, name: &str) -> Option<u64> {
+/// Parses a number from the query, such as `size` in `/grid?size=100`.
+fn query_number(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
-    let field = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
-    field.parse().ok()
+    let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
+    value.parse().ok()
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn heartbeat(shared: Arc<Shared>, address: SocketAddr) {
+/// Announces the target to its daemon at regular intervals.
+async fn announce(shared: Arc<Shared>, address: SocketAddr) {
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     loop {
         let behaviour = lock(&shared.behaviour).clone();
@@ -216,11 +221,11 @@
             let request = Request::post(format!("http://{}/announce", options.daemon))
                 .body(Full::new(Bytes::from(body.to_string())));
             if let Ok(request) = request {
-                // A daemon that is away hears of the target next time.
+                // If the daemon is down, the next announcement follows anyway.
                 drop(client.request(request).await);
             }
         }
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
@@ -230,36 +235,39 @@
     match parts.uri.path() {
         "/standin/runs" => {
             let runs = serde_json::to_vec(&*lock(&shared.runs)).unwrap_or_default();
-            return Some(Response::new(TargetBody::whole(runs)));
+            return Some(Response::new(TargetBody::complete(runs)));
         }
         "/load" => {
             let behaviour = lock(&shared.behaviour).clone();
-            let busy = shared.busy.load(Ordering::Relaxed);
-            // What it tells is as old as the answer is late.
+            let running = shared.running.load(Ordering::Relaxed);
+            // The load was read before the delay, so the report has this age.
             tokio::time::sleep(Duration::from_millis(behaviour.load_lag_ms)).await;
-            let load = behaviour.reported_load.unwrap_or(busy);
-            return Some(Response::new(TargetBody::whole(load.to_string().into_bytes())));
+            let load = behaviour.reported_load.unwrap_or(running);
+            return Some(Response::new(TargetBody::complete(load.to_string().into_bytes())));
         }
         "/standin/behave" => {
             let body = body.collect().await.ok()?.to_bytes();
             let behaviour = serde_json::from_slice(&body).ok()?;
             *lock(&shared.behaviour) = behaviour;
-            return Some(Response::new(TargetBody::whole(Vec::new())));
+            return Some(Response::new(TargetBody::complete(Vec::new())));
         }
         _ => {}
     }
     let body = body.collect().await.ok()?.to_bytes();
     let behaviour = lock(&shared.behaviour).clone();
-    if behaviour.fail_fast > 0 {
-        return Some(refuse(StatusCode::from_u16(behaviour.fail_fast).ok()?, "failing fast"));
+    if behaviour.fail_fast_status > 0 {
+        return Some(refuse(
+            StatusCode::from_u16(behaviour.fail_fast_status).ok()?,
+            "failing fast",
+        ));
     }
     let waiting = WaitingCall::count(&shared);
-    if behaviour.shed_above.is_some_and(|limit| waiting.number > limit) {
+    if behaviour.shed_above.is_some_and(|limit| waiting.waiting_before > limit) {
         return Some(refuse(StatusCode::SERVICE_UNAVAILABLE, "shed"));
     }
     let permit = shared.slots.acquire().await.ok()?;
     drop(waiting);
-    let _busy = BusySlot::take(&shared);
+    let _running = RunningCall::count(&shared);
     let key = parts.headers.get("idempotency-key").and_then(|value| value.to_str().ok());
     let run = TargetRun { key: key.map(str::to_owned), path: path.clone(), done: false };
     let index = {
@@ -268,47 +276,48 @@
         runs.len() - 1
     };
     let work = tokio::time::sleep(service_time(&shared, &path, &behaviour));
-    if tokio::time::timeout(time_left(&parts.headers), work).await.is_err() {
+    if tokio::time::timeout(time_to_deadline(&parts.headers), work).await.is_err() {
         return Some(refuse(StatusCode::GATEWAY_TIMEOUT, "past its deadline"));
     }
     lock(&shared.runs)[index].done = true;
     drop(permit);
-    let whole = expected_body(&shared.options.service, &path, &body);
-    let length = whole.len();
-    let mut response = Response::new(TargetBody::faulty(whole, &behaviour));
+    let body = expected_body(&shared.options.service, &path, &body);
+    let length = body.len();
+    let mut response = Response::new(TargetBody::with_faults(body, &behaviour));
     response.headers_mut().insert("content-length", length.into());
     Some(response)
 }
 
 fn refuse(status: StatusCode, text: &str) -> Response<TargetBody> {
-    let mut response = Response::new(TargetBody::whole(text.as_bytes().to_vec()));
+    let mut response = Response::new(TargetBody::complete(text.as_bytes().to_vec()));
     *response.status_mut() = status;
     response
 }
 
-/// Returns the time to the deadline that the call carries.
-fn time_left(headers: &HeaderMap) -> Duration {
+/// Returns the time left, as the deadline header says; unlimited without one.
+fn time_to_deadline(headers: &HeaderMap) -> Duration {
     let value = headers.get("railspan-deadline-ms").and_then(|value| value.to_str().ok());
     let millis = value.and_then(|value| value.parse().ok());
     millis.map_or(Duration::MAX, Duration::from_millis)
 }
 
+/// Draws a service time between 0.5 and 1.5 times the mean.
 fn service_time(shared: &Shared, path: &str, behaviour: &TargetBehaviour) -> Duration {
-    let mean = number(path, "us").unwrap_or(shared.options.service_us) as f64;
+    let mean = query_number(path, "us").unwrap_or(shared.options.service_us) as f64;
     let spread: f64 = lock(&shared.rng).random_range(0.5..1.5);
     Duration::from_micros((mean * spread * behaviour.slowdown) as u64)
 }
 
-/// A call that waits for a slot; counted out when dropped.
+/// Counts a call among those that wait for a slot until this is dropped.
 struct WaitingCall<'a> {
     shared: &'a Shared,
-    /// Calls that waited when this one came.
-    number: usize,
+    /// Number of calls that were already waiting when this one arrived.
+    waiting_before: usize,
 }
 
 impl<'a> WaitingCall<'a> {
     fn count(shared: &'a Shared) -> Self {
-        Self { shared, number: shared.waiting.fetch_add(1, Ordering::Relaxed) }
+        Self { shared, waiting_before: shared.waiting.fetch_add(1, Ordering::Relaxed) }
     }
 }
 
@@ -318,50 +327,52 @@
     }
 }
 
-/// A slot in use; freed when dropped, also when the call is cancelled.
-struct BusySlot<'a>(&'a Shared);
+/// Counts a running call until this is dropped, which also happens when the call is
+/// cancelled.
+struct RunningCall<'a>(&'a Shared);
 
-impl<'a> BusySlot<'a> {
-    fn take(shared: &'a Shared) -> Self {
-        let busy = shared.busy.fetch_add(1, Ordering::Relaxed) + 1;
-        shared.max_concurrent_calls.fetch_max(busy, Ordering::Relaxed);
+impl<'a> RunningCall<'a> {
+    fn count(shared: &'a Shared) -> Self {
+        let running = shared.running.fetch_add(1, Ordering::Relaxed) + 1;
+        shared.max_concurrent_calls.fetch_max(running, Ordering::Relaxed);
         Self(shared)
     }
 }
 
-impl Drop for BusySlot<'_> {
+impl Drop for RunningCall<'_> {
     fn drop(&mut self) {
-        self.0.busy.fetch_sub(1, Ordering::Relaxed);
+        self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A body that may be cut off, or go on too long.
+/// A response body that may be cut off early or be too long.
 struct TargetBody {
-    parts: std::vec::IntoIter<Bytes>,
-    /// Ends before a body is cut off, so that its first part has left by then.
-    cut: Option<Pin<Box<tokio::time::Sleep>>>,
+    frames: std::vec::IntoIter<Bytes>,
+    /// Elapses before the body is cut off, so that its frames have been sent by then.
+    cut_delay: Option<Pin<Box<tokio::time::Sleep>>>,
 }
 
 impl TargetBody {
-    /// Bytes of one frame.
-    const FRAME: usize = 16 << 10;
+    /// Size of one frame, in bytes.
+    const FRAME_BYTES: usize = 16 << 10;
 
-    /// Time between the last part of a body and its cut.
-    const PAUSE: Duration = Duration::from_millis(50);
+    /// Delay between the last frame of a body and its cut.
+    const CUT_DELAY: Duration = Duration::from_millis(50);
 
-    fn whole(bytes: Vec<u8>) -> Self {
-        Self { parts: vec![Bytes::from(bytes)].into_iter(), cut: None }
+    fn complete(bytes: Vec<u8>) -> Self {
+        Self { frames: vec![Bytes::from(bytes)].into_iter(), cut_delay: None }
     }
 
-    fn faulty(mut bytes: Vec<u8>, behaviour: &TargetBehaviour) -> Self {
-        let broken = behaviour.cut_after.is_some_and(|cut| cut < bytes.len());
+    fn with_faults(mut bytes: Vec<u8>, behaviour: &TargetBehaviour) -> Self {
+        let is_cut = behaviour.cut_after.is_some_and(|cut| cut < bytes.len());
         if let Some(cut) = behaviour.cut_after {
             bytes.truncate(cut);
         }
-        bytes.extend(vec![b'!'; behaviour.extra]);
-        let parts: Vec<Bytes> = bytes.chunks(Self::FRAME).map(Bytes::copy_from_slice).collect();
-        let cut = broken.then(|| Box::pin(tokio::time::sleep(Self::PAUSE)));
-        Self { parts: parts.into_iter(), cut }
+        bytes.extend(vec![b'!'; behaviour.extra_bytes]);
+        let frames: Vec<Bytes> =
+            bytes.chunks(Self::FRAME_BYTES).map(Bytes::copy_from_slice).collect();
+        let cut_delay = is_cut.then(|| Box::pin(tokio::time::sleep(Self::CUT_DELAY)));
+        Self { frames: frames.into_iter(), cut_delay }
     }
 }
 
@@ -374,11 +385,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let body = self.get_mut();
-        if let Some(part) = body.parts.next() {
-            return Poll::Ready(Some(Ok(Frame::data(part))));
+        if let Some(frame) = body.frames.next() {
+            return Poll::Ready(Some(Ok(Frame::data(frame))));
         }
-        let Some(cut) = &mut body.cut else { return Poll::Ready(None) };
-        ready!(cut.as_mut().poll(cx));
-        Poll::Ready(Some(Err(io::Error::other("cut off on purpose"))))
+        let Some(cut_delay) = &mut body.cut_delay else { return Poll::Ready(None) };
+        ready!(cut_delay.as_mut().poll(cx));
+        Poll::Ready(Some(Err(io::Error::other("response body cut off on purpose"))))
     }
 }
--- a/tests/complete_answer.rs
+++ b/tests/complete_answer.rs
@@ -56,12 +56,12 @@
 fn bytes_beyond_the_length_are_never_part_of_an_answer() {
     let fleet =
         TestFleet::spawn(FleetPlan { hosts: 1, service: "grillas", ..FleetPlan::default() });
-    fleet.targets[0].behave(|behaviour| behaviour.extra = 50);
+    fleet.targets[0].behave(|behaviour| behaviour.extra_bytes = 50);
     for number in 0..20 {
         let report = fleet.call(0, &fleet.read(&format!("/extra/{number}?size=500")));
         assert_ne!(report.verdict, Verdict::Wrong, "{report:?}");
     }
-    fleet.targets[0].behave(|behaviour| behaviour.extra = 0);
+    fleet.targets[0].behave(|behaviour| behaviour.extra_bytes = 0);
     for number in 0..20 {
         let report = fleet.call(0, &fleet.read(&format!("/clean/{number}?size=500")));
         assert_ne!(report.verdict, Verdict::Wrong, "{report:?}");
