--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks every byte of each answer.
+//! A caller that checks every byte of each response body.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,63 +14,63 @@
 
 use crate::target::{TargetRun, expected_body};
 
-/// Time beyond its deadline that a caller waits for an answer.
+/// Time after its deadline that a caller still waits for a response.
 const GRACE: Duration = Duration::from_secs(5);
 
-/// One call to make.
+/// A call to make.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The account's bearer token.
+    /// Bearer token of the client account.
     pub token: String,
     /// HTTP method.
     pub method: &'static str,
-    /// Path and query at the target.
+    /// Path and query for the target.
     pub path: String,
-    /// Idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<String>,
     /// Request body.
     pub body: Vec<u8>,
-    /// Deadline, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub deadline_ms: u32,
 }
 
-/// What the caller makes of an answer.
+/// How the caller classifies a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Whole, and the answer to this very call.
+    /// The response is complete and belongs to this call.
     Complete,
-    /// Something else than the answer to this call, taken for whole.
+    /// The response looks complete, but does not belong to this call.
     Wrong,
-    /// Visibly broken, or no connection.
+    /// The response is visibly incomplete, or there was none.
     Broken,
-    /// The target answered an error.
+    /// The target responded with an error status.
     TargetError,
-    /// The system says that the call did not run.
+    /// Railspan reports that the call did not run.
     NotRun,
-    /// The system says that the call may have run.
+    /// Railspan reports that the call may have run.
     Unknown,
 }
 
-/// One call as it went.
+/// The result of a call.
 #[derive(Clone, Debug)]
 pub struct CallReport {
-    /// What came of it.
+    /// Classification of the response.
     pub verdict: Verdict,
-    /// HTTP status, or zero.
+    /// HTTP status; zero without a response.
     pub status: u16,
-    /// Time from the first byte sent to the last one received.
+    /// Time from sending the request to the end of the response.
     pub took: Duration,
-    /// When to come back, in milliseconds, where the answer says so.
+    /// Delay before a retry, in milliseconds, if the response gives one.
     pub retry_after_ms: Option<u32>,
-    /// Whether the answer is the recorded one of an earlier call.
+    /// Whether the response was recorded from an earlier call.
     pub recorded: bool,
-    /// Why, where the system says so.
+    /// Reason that railspan gives, or the caller's own error; may be empty.
     pub reason: String,
 }
 
-/// A caller with its connections.
+/// A caller with its connection pool.
 #[derive(Clone, Debug)]
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -83,7 +83,7 @@
 }
 
 impl CallerClient {
-    /// Opens a caller; connections are made when needed.
+    /// Creates a caller, which connects on demand.
     #[must_use]
     pub fn open() -> Self {
         let mut connector = HttpConnector::new();
@@ -93,11 +93,11 @@
         Self { client }
     }
 
-    /// Reads a page of a target directly, as a baseline.
+    /// Sends a GET request directly to a target, as a baseline for measurements.
     ///
     /// # Errors
     ///
-    /// Fails when the page can't be had.
+    /// Fails when the target can't be reached or the response is incomplete.
     pub async fn get(&self, target: SocketAddr, path: &str) -> io::Result<Bytes> {
         let request = Request::get(format!("http://{target}{path}")).body(Full::default());
         let request = request.map_err(io::Error::other)?;
@@ -106,9 +106,9 @@
         Ok(body.to_bytes())
     }
 
-    /// Makes one call through a daemon and checks its answer.
+    /// Makes a call through a daemon and checks the response.
     pub async fn call(&self, daemon: SocketAddr, call: &CallRequest) -> CallReport {
-        let since = Instant::now();
+        let started = Instant::now();
         let uri = format!("http://{daemon}/{}{}", call.service, call.path);
         let mut builder = Request::builder()
             .method(call.method)
@@ -129,19 +129,20 @@
             reason: String::new(),
         };
         if let Ok(request) = request {
-            let asked = tokio::time::timeout(limit, self.client.request(request)).await;
-            match asked {
-                Ok(Ok(response)) => judge(&mut report, call, response, limit).await,
+            let result = tokio::time::timeout(limit, self.client.request(request)).await;
+            match result {
+                Ok(Ok(response)) => classify(&mut report, call, response, limit).await,
                 Ok(Err(error)) => report.reason = error.to_string(),
                 Err(_) => "timeout".clone_into(&mut report.reason),
             }
         }
-        report.took = since.elapsed();
+        report.took = started.elapsed();
         report
     }
 }
 
-async fn judge(
+/// Fills in a report from a response, whose body it reads within `limit`.
+async fn classify(
     report: &mut CallReport,
     call: &CallRequest,
     response: Response<Incoming>,
@@ -165,18 +166,18 @@
         (Some("answered"), Ok(Ok(_))) if !success => Verdict::TargetError,
         (Some("answered"), Ok(Ok(body))) => {
             let expected = expected_body(&call.service, &call.path, &call.body);
-            let same = body.to_bytes() == expected;
-            if same { Verdict::Complete } else { Verdict::Wrong }
+            let matches = body.to_bytes() == expected;
+            if matches { Verdict::Complete } else { Verdict::Wrong }
         }
         _ => Verdict::Wrong,
     };
 }
 
-/// Reads a page, such as a daemon's state; returns its status and body.
+/// Requests a page, such as a daemon's state; returns the HTTP status and the body.
 ///
 /// # Errors
 ///
-/// Fails when the page can't be had.
+/// Fails when the address can't be reached or the response is incomplete.
 pub async fn fetch(method: &str, address: SocketAddr, path: &str) -> io::Result<(u16, Bytes)> {
     let client = CallerClient::open().client;
     let request = Request::builder().method(method).uri(format!("http://{address}{path}"));
@@ -187,11 +188,11 @@
     Ok((status, body.to_bytes()))
 }
 
-/// Reads the record of what a target ran.
+/// Requests the list of calls that a target started to run.
 ///
 /// # Errors
 ///
-/// Fails when the target can't be reached.
+/// Fails when the target can't be reached or its response can't be parsed.
 pub async fn fetch_runs(target: SocketAddr) -> io::Result<Vec<TargetRun>> {
     let (_, body) = fetch("GET", target, "/standin/runs").await?;
     serde_json::from_slice(&body).map_err(io::Error::other)
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -1,7 +1,7 @@
-//! A proxy on loopback that spoils what passes through it.
+//! A proxy on loopback that injects network faults.
 //!
-//! One link stands before one address of one process, for TCP and, where asked,
-//! for UDP. Faults change while connections are open.
+//! Each link forwards to one address of one process: TCP and, on request, UDP.
+//! Faults can change while connections are open.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,52 +15,53 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Time between two looks of a held-up pump at whether it may go on.
-const HELD_UP: Duration = Duration::from_millis(20);
+/// Interval at which a blocked transfer checks whether the link is still cut.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest piece that passes at once, in bytes.
-const PIECE: usize = 16 << 10;
+/// Size of the buffer for one read, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Sockets that remember where datagrams came from, at most.
+/// Largest number of sockets that are kept for senders of datagrams.
 const MAX_SENDERS: usize = 256;
 
-/// Which way bytes go through a link.
+/// Direction in which bytes pass through a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
-    /// Towards the process that the link stands before.
+    /// To the process behind the link.
     Inbound,
-    /// Back to who connected.
+    /// From the process behind the link.
     Outbound,
 }
 
 #[derive(Debug)]
 struct LinkState {
-    /// The process; nothing while it has no address.
-    process: Mutex<Option<SocketAddr>>,
+    /// Address of the process behind the link, if already set.
+    upstream: Mutex<Option<SocketAddr>>,
     delay_ms: AtomicU64,
-    cut_inward: AtomicBool,
-    cut_outward: AtomicBool,
-    /// Grows when all open connections fall silent for good.
+    cut_inbound: AtomicBool,
+    cut_outbound: AtomicBool,
+    /// Number of [`FaultyLink::silence`] calls; a connection that was opened under an
+    /// earlier number passes nothing any more.
     silences: AtomicU64,
-    /// Grows when all open connections are reset.
+    /// Number of [`FaultyLink::reset`] calls.
     resets: watch::Sender<u64>,
 }
 
 impl LinkState {
-    fn process(&self) -> Option<SocketAddr> {
-        *self.process.lock().unwrap_or_else(PoisonError::into_inner)
+    fn upstream(&self) -> Option<SocketAddr> {
+        *self.upstream.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_cut(&self, way: LinkDirection) -> bool {
-        let cut = match way {
-            LinkDirection::Inbound => &self.cut_inward,
-            LinkDirection::Outbound => &self.cut_outward,
+    fn is_cut(&self, direction: LinkDirection) -> bool {
+        let cut = match direction {
+            LinkDirection::Inbound => &self.cut_inbound,
+            LinkDirection::Outbound => &self.cut_outbound,
         };
         cut.load(Ordering::Relaxed)
     }
 }
 
-/// A running link; its tasks end with the runtime.
+/// A running link, whose tasks end with the runtime.
 #[derive(Clone, Debug)]
 pub struct FaultyLink {
     address: SocketAddr,
@@ -68,19 +69,20 @@
 }
 
 impl FaultyLink {
-    /// Binds a link that carries nothing until [`Self::set_upstream`].
+    /// Binds a link, which forwards nothing before [`Self::set_upstream`]. With
+    /// `datagrams`, it forwards UDP at the same port as well.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Fails when no port can be bound.
     pub fn bind(runtime: &Handle, datagrams: bool) -> io::Result<Self> {
         let (listener, socket) = runtime.block_on(bind_both(datagrams))?;
         let address = listener.local_addr()?;
         let state = Arc::new(LinkState {
-            process: Mutex::default(),
+            upstream: Mutex::default(),
             delay_ms: AtomicU64::new(0),
-            cut_inward: AtomicBool::new(false),
-            cut_outward: AtomicBool::new(false),
+            cut_inbound: AtomicBool::new(false),
+            cut_outbound: AtomicBool::new(false),
             silences: AtomicU64::new(0),
             resets: watch::Sender::new(0),
         });
@@ -91,32 +93,33 @@
         Ok(Self { address, state })
     }
 
-    /// Returns where others connect.
+    /// Returns the address at which the link listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Says where the process is now.
-    pub fn set_upstream(&self, process: SocketAddr) {
-        *self.state.process.lock().unwrap_or_else(PoisonError::into_inner) = Some(process);
+    /// Sets the address of the process for new connections and for datagrams.
+    pub fn set_upstream(&self, upstream: SocketAddr) {
+        *self.state.upstream.lock().unwrap_or_else(PoisonError::into_inner) = Some(upstream);
     }
 
-    /// Holds up each piece by some milliseconds; zero ends it.
+    /// Delays each read of a connection by this many milliseconds; zero for no delay.
     pub fn delay(&self, millis: u64) {
         self.state.delay_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Lets nothing pass one way: streams wait, datagrams are lost.
-    pub fn cut(&self, way: LinkDirection, cut: bool) {
-        let flag = match way {
-            LinkDirection::Inbound => &self.state.cut_inward,
-            LinkDirection::Outbound => &self.state.cut_outward,
+    /// Blocks a direction or unblocks it: streams wait, datagrams are lost.
+    pub fn cut(&self, direction: LinkDirection, cut: bool) {
+        let flag = match direction {
+            LinkDirection::Inbound => &self.state.cut_inbound,
+            LinkDirection::Outbound => &self.state.cut_outbound,
         };
         flag.store(cut, Ordering::Relaxed);
     }
 
-    /// Swallows all that comes on connections open now; new ones work.
+    /// Silently discards all further bytes of connections open now, and leaves them
+    /// open. New connections work.
     pub fn silence(&self) {
         self.state.silences.fetch_add(1, Ordering::Relaxed);
     }
@@ -126,7 +129,7 @@
         self.state.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Ends all faults but the silence of connections that fell silent.
+    /// Ends delays and cuts; silenced connections remain silent.
     pub fn heal(&self) {
         self.delay(0);
         self.cut(LinkDirection::Inbound, false);
@@ -140,7 +143,8 @@
         if !datagrams {
             return Ok((listener, None));
         }
-        // The system chose the port for TCP; it may be taken for UDP.
+        // The operating system chose a port that is free for TCP; for UDP it may be
+        // in use.
         if let Ok(socket) = UdpSocket::bind(listener.local_addr()?).await {
             return Ok((listener, Some(socket)));
         }
@@ -149,63 +153,65 @@
 
 async fn accept(listener: TcpListener, state: Arc<LinkState>) {
     loop {
-        let Ok((outer, _)) = listener.accept().await else { continue };
-        tokio::spawn(join(outer, Arc::clone(&state)));
+        let Ok((client, _)) = listener.accept().await else { continue };
+        tokio::spawn(relay_connection(client, Arc::clone(&state)));
     }
 }
 
-/// Joins a connection to one of the process, until either ends.
-async fn join(outer: TcpStream, state: Arc<LinkState>) {
-    let born = state.silences.load(Ordering::Relaxed);
+/// Forwards a connection to the process and back until both directions have ended or
+/// the connection is reset.
+async fn relay_connection(client: TcpStream, state: Arc<LinkState>) {
+    let silences_at_open = state.silences.load(Ordering::Relaxed);
     let mut resets = state.resets.subscribe();
     while state.is_cut(LinkDirection::Inbound) {
-        tokio::time::sleep(HELD_UP).await;
+        tokio::time::sleep(CUT_CHECK_INTERVAL).await;
     }
-    let Some(process) = state.process() else { return };
-    let Ok(inner) = TcpStream::connect(process).await else {
-        // As a port without a listener does.
-        drop(outer.set_zero_linger());
+    let Some(upstream) = state.upstream() else { return };
+    let Ok(server) = TcpStream::connect(upstream).await else {
+        // Resets the connection, as a port without a listener does.
+        drop(client.set_zero_linger());
         return;
     };
-    drop(outer.set_nodelay(true));
-    drop(inner.set_nodelay(true));
-    let (mut outer_read, mut outer_write) = outer.into_split();
-    let (mut inner_read, mut inner_write) = inner.into_split();
+    drop(client.set_nodelay(true));
+    drop(server.set_nodelay(true));
+    let (mut client_read, mut client_write) = client.into_split();
+    let (mut server_read, mut server_write) = server.into_split();
     let reset = tokio::select! {
         () = async {
             tokio::join!(
-                pump(&mut outer_read, &mut inner_write, &state, LinkDirection::Inbound, born),
-                pump(&mut inner_read, &mut outer_write, &state, LinkDirection::Outbound, born),
+                copy_stream(&mut client_read, &mut server_write, &state, LinkDirection::Inbound, silences_at_open),
+                copy_stream(&mut server_read, &mut client_write, &state, LinkDirection::Outbound, silences_at_open),
             );
         } => false,
         _ = resets.changed() => true,
     };
     if reset {
-        for half in [outer_write.as_ref(), inner_write.as_ref()] {
+        for half in [client_write.as_ref(), server_write.as_ref()] {
             drop(half.set_zero_linger());
         }
     }
 }
 
-async fn pump(
+/// Copies one direction of a connection, with the link's faults.
+async fn copy_stream(
     from: &mut (impl AsyncReadExt + Unpin),
     to: &mut (impl AsyncWriteExt + Unpin),
     state: &LinkState,
-    way: LinkDirection,
-    born: u64,
+    direction: LinkDirection,
+    silences_at_open: u64,
 ) {
-    let mut buffer = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         let millis = state.delay_ms.load(Ordering::Relaxed);
         if millis > 0 {
             tokio::time::sleep(Duration::from_millis(millis)).await;
         }
-        while state.is_cut(way) {
-            tokio::time::sleep(HELD_UP).await;
+        while state.is_cut(direction) {
+            tokio::time::sleep(CUT_CHECK_INTERVAL).await;
         }
-        if state.silences.load(Ordering::Relaxed) != born {
-            // Neither bytes nor the end of the stream pass any more.
-            continue_silently(from).await;
+        if state.silences.load(Ordering::Relaxed) != silences_at_open {
+            // Neither bytes nor the end of the stream are forwarded any more.
+            discard_forever(from).await;
         }
         if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
             break;
@@ -214,20 +220,21 @@
     drop(to.shutdown().await);
 }
 
-/// Swallows a stream to its end, and then waits for ever.
-async fn continue_silently(from: &mut (impl AsyncReadExt + Unpin)) {
-    let mut buffer = vec![0; PIECE];
+/// Discards a stream up to its end, then waits forever.
+async fn discard_forever(from: &mut (impl AsyncReadExt + Unpin)) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while from.read(&mut buffer).await.is_ok_and(|length| length > 0) {}
     std::future::pending::<()>().await;
 }
 
-/// Relays datagrams, each sender by a socket of its own, so that answers find back.
-async fn relay_datagrams(outer: Arc<UdpSocket>, state: Arc<LinkState>) {
+/// Forwards datagrams, with one socket for each sender, so that replies can be returned
+/// to it.
+async fn relay_datagrams(client: Arc<UdpSocket>, state: Arc<LinkState>) {
     let mut senders: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-    let mut buffer = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok((length, from)) = outer.recv_from(&mut buffer).await else { continue };
-        let Some(process) = state.process() else { continue };
+        let Ok((length, from)) = client.recv_from(&mut buffer).await else { continue };
+        let Some(upstream) = state.upstream() else { continue };
         if state.is_cut(LinkDirection::Inbound) {
             continue;
         }
@@ -235,30 +242,31 @@
             if senders.len() >= MAX_SENDERS {
                 senders.clear();
             }
-            let Ok(inner) = UdpSocket::bind("127.0.0.1:0").await else { continue };
-            let inner = Arc::new(inner);
-            tokio::spawn(answer_datagrams(
-                Arc::clone(&inner),
-                Arc::clone(&outer),
+            let Ok(server) = UdpSocket::bind("127.0.0.1:0").await else { continue };
+            let server = Arc::new(server);
+            tokio::spawn(relay_replies(
+                Arc::clone(&server),
+                Arc::clone(&client),
                 from,
                 Arc::clone(&state),
             ));
-            senders.insert(from, inner);
+            senders.insert(from, server);
         }
-        drop(senders[&from].try_send_to(&buffer[..length], process));
+        drop(senders[&from].try_send_to(&buffer[..length], upstream));
     }
 }
 
-async fn answer_datagrams(
-    inner: Arc<UdpSocket>,
-    outer: Arc<UdpSocket>,
+/// Returns datagrams of the process to one sender.
+async fn relay_replies(
+    server: Arc<UdpSocket>,
+    client: Arc<UdpSocket>,
     to: SocketAddr,
     state: Arc<LinkState>,
 ) {
-    let mut buffer = vec![0; PIECE];
-    while let Ok((length, _)) = inner.recv_from(&mut buffer).await {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok((length, _)) = server.recv_from(&mut buffer).await {
         if !state.is_cut(LinkDirection::Outbound) {
-            drop(outer.try_send_to(&buffer[..length], to));
+            drop(client.try_send_to(&buffer[..length], to));
         }
     }
 }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's store: rows in tables, and objects, with faults.
+//! The platform's store of rows and objects, with fault injection.
 //!
-//! Speaks the published protocol of the users' store as far as the system uses
-//! it: one counter of versions, transactions under conditions, pages, a feed of
-//! changes with a history that can be dropped.
+//! It implements the part of the users' store protocol that railspan uses: one
+//! version counter, conditional transactions, pages, and a change feed whose history
+//! can be lost.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -25,21 +25,21 @@
 const CONNECTIONS: http::ConnectionLimits =
     http::ConnectionLimits { max_concurrent: 10_000, open_delay: Duration::ZERO };
 
-/// Table that only the operator writes.
+/// Table that only the operator may write.
 pub(crate) const OPERATOR_TABLE: &str = "op";
 
-/// Rows of one page, at most.
-const MAX_PAGE: usize = 500;
+/// Largest number of rows in a page.
+const MAX_PAGE_ROWS: usize = 500;
 
-/// Time between two looks for changes while a feed waits.
-const FEED_STEP: Duration = Duration::from_millis(10);
+/// Interval at which a waiting feed request checks for changes.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the platform carries in a second.
+/// Request rates above which the platform responds with 503.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct PlatformLimits {
-    /// Transactions and object writes.
+    /// Transactions and object writes per second.
     pub writes_per_s: f64,
-    /// Reads of rows, pages and objects.
+    /// Reads of rows, pages and objects per second.
     pub reads_per_s: f64,
 }
 
@@ -49,27 +49,27 @@
     }
 }
 
-/// What is wrong with the platform now.
+/// Faults of the platform.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every request is refused with 503.
+    /// Every request is rejected with 503.
     pub down: bool,
-    /// Every request takes this much longer, in milliseconds.
+    /// Extra delay of every request, in milliseconds.
     pub slow_ms: u64,
-    /// So many further writes are applied but not answered.
+    /// Number of further writes that get no response, though they are applied.
     #[serde(rename = "lose_answers")]
     pub unanswered_writes: u32,
-    /// Objects can't be found.
+    /// Reads of objects fail with 404.
     pub objects_missing: bool,
-    /// The history of changes is gone: whoever follows it must read anew.
+    /// The change history is lost: followers of the feed must read all rows again.
     pub history_gone: bool,
 }
 
 #[derive(Debug)]
 struct State {
     rows: BTreeMap<RowKey, (u64, String)>,
-    /// Rows that were removed, and at which version, for those who follow changes.
+    /// Removed rows with the version of their removal, for the change feed.
     removed: BTreeMap<RowKey, u64>,
     objects: HashMap<String, Bytes>,
     faults: PlatformFaults,
@@ -77,14 +77,15 @@
     writes: TokenBucket,
     reads: TokenBucket,
     version: u64,
-    /// Counts of requests by kind, refused ones included.
+    /// Number of requests by kind. Apart from feeds, those that were rejected as down or
+    /// over the rate limit are not counted; failed transactions are.
     counts: BTreeMap<&'static str, u64>,
 }
 
-/// Table, part and key of a row.
+/// Table, partition and key of a row.
 type RowKey = (String, String, String);
 
-/// A row, or what is said of one; `value` is base64.
+/// A row in requests and responses; `value` is base64.
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Row {
@@ -94,7 +95,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     value: Option<String>,
     ver: u64,
-    /// Set on a row that was removed, among changes.
+    /// Set in the change feed for a row that was removed.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     deleted: bool,
 }
@@ -121,7 +122,7 @@
     }
 }
 
-/// A running platform; it stops when dropped.
+/// A running platform, which stops when this is dropped.
 #[derive(Debug)]
 pub struct PlatformStandin {
     address: SocketAddr,
@@ -130,11 +131,11 @@
 }
 
 impl PlatformStandin {
-    /// Binds the platform and serves it on a thread of its own.
+    /// Binds the address and serves the platform on its own thread.
     ///
     /// # Errors
     ///
-    /// Fails when the address or a thread can't be had.
+    /// Fails when the address can't be bound or a thread can't be started.
     pub fn spawn(address: SocketAddr, limits: PlatformLimits) -> io::Result<Self> {
         let (listener, address) = http::bind(address)?;
         let state = Arc::new(Mutex::new(State {
@@ -156,27 +157,27 @@
         Ok(Self { address, state, _runtime: runtime })
     }
 
-    /// Returns where the platform listens.
+    /// Returns the address at which the platform listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what is wrong.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         lock(&self.state).faults = faults;
     }
 
-    /// Returns the system's rows whose key starts with `prefix`, as key and value.
+    /// Returns keys and values of railspan's rows whose key starts with `prefix`.
     #[must_use]
     pub fn rows(&self, prefix: &str) -> Vec<(String, String)> {
         let state = lock(&self.state);
-        let own = |(table, _, key): &RowKey| table != OPERATOR_TABLE && key.starts_with(prefix);
-        let rows = state.rows.iter().filter(|(key, _)| own(key));
+        let matches = |(table, _, key): &RowKey| table != OPERATOR_TABLE && key.starts_with(prefix);
+        let rows = state.rows.iter().filter(|(key, _)| matches(key));
         rows.map(|((_, _, key), (_, value))| (key.clone(), decode(value))).collect()
     }
 
-    /// Writes a row past all conditions, or removes it.
+    /// Writes a row without conditions; `None` removes it.
     pub(crate) fn put_row(&self, table: &str, key: &str, value: Option<&[u8]>) {
         let mut state = lock(&self.state);
         state.version += 1;
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Returns how many requests of a kind came, such as `commit` or `row`.
+    /// Returns the number of requests of a kind, such as `commit` or `row`.
     #[must_use]
     pub fn count(&self, kind: &str) -> u64 {
         lock(&self.state).counts.get(kind).copied().unwrap_or(0)
@@ -218,21 +219,21 @@
         lock(&state).faults = faults;
         return Some(reply(StatusCode::OK, Bytes::new()));
     }
-    let slow = lock(&state).faults.slow_ms;
-    if slow > 0 {
-        tokio::time::sleep(Duration::from_millis(slow)).await;
+    let delay_ms = lock(&state).faults.slow_ms;
+    if delay_ms > 0 {
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
     let query = parts.uri.query().unwrap_or("").to_owned();
     if path == "/rows-feed" {
         return Some(feed(&state, &query).await);
     }
     let mut state = lock(&state);
-    let writes = parts.method != Method::GET;
-    if state.faults.down || !state.admit(writes) {
+    let is_write = parts.method != Method::GET;
+    if state.faults.down || !state.admit(is_write) {
         return Some(reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
     }
     let response = state.serve(&parts.method, &path, &query, body);
-    if writes && state.faults.unanswered_writes > 0 {
+    if is_write && state.faults.unanswered_writes > 0 {
         state.faults.unanswered_writes -= 1;
         return None;
     }
@@ -240,8 +241,9 @@
 }
 
 impl State {
-    fn admit(&mut self, writes: bool) -> bool {
-        if writes {
+    /// Takes a token for a request; `false` if its rate limit is exceeded.
+    fn admit(&mut self, is_write: bool) -> bool {
+        if is_write {
             self.writes.try_take(self.limits.writes_per_s)
         } else {
             self.reads.try_take(self.limits.reads_per_s)
@@ -264,8 +266,8 @@
             return self.commit(&body);
         }
         if path == "/rows-get" {
-            let one = field(query, "limit") == "1";
-            self.count(if one { "row" } else { "rows" });
+            let is_single = field(query, "limit") == "1";
+            self.count(if is_single { "row" } else { "rows" });
             return self.page(query);
         }
         if path.starts_with("/blob-put/") && method != Method::PUT {
@@ -295,13 +297,10 @@
         if written.clone().any(|row| row.table == OPERATOR_TABLE) {
             return reply(StatusCode::FORBIDDEN, Bytes::new());
         }
-        let present: Vec<Row> = transaction.expect.iter().map(|row| self.present(row)).collect();
-        if present
-            .iter()
-            .zip(&transaction.expect)
-            .any(|(found, expected)| found.ver != expected.ver)
+        let stored: Vec<Row> = transaction.expect.iter().map(|row| self.stored(row)).collect();
+        if stored.iter().zip(&transaction.expect).any(|(found, expected)| found.ver != expected.ver)
         {
-            return json(StatusCode::PRECONDITION_FAILED, &self.answer(present, false));
+            return json(StatusCode::PRECONDITION_FAILED, &self.to_page(stored, false));
         }
         self.version += 1;
         for row in transaction.puts {
@@ -311,36 +310,36 @@
         for row in transaction.remove {
             self.rows.remove(&row.row_key());
         }
-        json(StatusCode::OK, &self.answer(Vec::new(), false))
+        json(StatusCode::OK, &self.to_page(Vec::new(), false))
     }
 
-    /// Returns a row as it is; version zero where there is none.
-    fn present(&self, asked: &Row) -> Row {
-        let found = self.rows.get(&asked.row_key());
+    /// Returns the stored row; version zero if there is none.
+    fn stored(&self, requested: &Row) -> Row {
+        let found = self.rows.get(&requested.row_key());
         let (ver, value) = found.map_or((0, None), |(ver, value)| (*ver, Some(value.clone())));
-        Row { value, ver, ..asked.clone() }
+        Row { value, ver, ..requested.clone() }
     }
 
     fn page(&self, query: &str) -> Response<Full<Bytes>> {
         let (table, part) = (field(query, "table"), field(query, "part"));
         let (from, end) = (field(query, "from"), field(query, "target"));
-        let limit = field(query, "limit").parse().unwrap_or(MAX_PAGE).min(MAX_PAGE);
-        let fits = |(own_table, own_part, key): &RowKey| {
-            let inside = key.as_str() >= from && (end.is_empty() || key.as_str() < end);
-            own_table == table && own_part == part && inside
+        let limit = field(query, "limit").parse().unwrap_or(MAX_PAGE_ROWS).min(MAX_PAGE_ROWS);
+        let matches = |(row_table, row_part, key): &RowKey| {
+            let in_range = key.as_str() >= from && (end.is_empty() || key.as_str() < end);
+            row_table == table && row_part == part && in_range
         };
         let mut rows: Vec<Row> =
-            self.rows.iter().filter(|(key, _)| fits(key)).map(tell).take(limit + 1).collect();
+            self.rows.iter().filter(|(key, _)| matches(key)).map(to_row).take(limit + 1).collect();
         let has_more = rows.len() > limit;
         rows.truncate(limit);
-        json(StatusCode::OK, &self.answer(rows, has_more))
+        json(StatusCode::OK, &self.to_page(rows, has_more))
     }
 
     /// Returns the rows of a table that changed after a version, oldest first.
     fn changes(&self, table: &str, after: u64) -> Vec<Row> {
         let newer = |key: &RowKey, ver: u64| key.0 == table && ver > after;
         let mut rows: Vec<Row> =
-            self.rows.iter().filter(|(key, (ver, _))| newer(key, *ver)).map(tell).collect();
+            self.rows.iter().filter(|(key, (ver, _))| newer(key, *ver)).map(to_row).collect();
         let removed = self.removed.iter().filter(|(key, ver)| newer(key, **ver));
         rows.extend(removed.map(|(key, ver)| {
             let (table, part, key) = key.clone();
@@ -350,16 +349,16 @@
         rows
     }
 
-    fn answer(&self, rows: Vec<Row>, has_more: bool) -> Page {
+    fn to_page(&self, rows: Vec<Row>, has_more: bool) -> Page {
         Page { rows, has_more, ver: self.version, now: "0ms".to_owned() }
     }
 }
 
-/// Waits for changes of a table, up to the time that is asked for.
+/// Returns changes of a table; waits for them up to the requested time.
 async fn feed(state: &Mutex<State>, query: &str) -> Response<Full<Bytes>> {
     let after = field(query, "after").parse().unwrap_or(0);
     let wait = Duration::from_millis(field(query, "wait_ms").parse().unwrap_or(0));
-    let until = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     lock(state).count("feed");
     loop {
         {
@@ -371,15 +370,15 @@
                 return reply(StatusCode::GONE, Bytes::new());
             }
             let rows = state.changes(field(query, "table"), after);
-            if !rows.is_empty() || Instant::now() >= until {
-                return json(StatusCode::OK, &state.answer(rows, false));
+            if !rows.is_empty() || Instant::now() >= deadline {
+                return json(StatusCode::OK, &state.to_page(rows, false));
             }
         }
-        tokio::time::sleep(FEED_STEP).await;
+        tokio::time::sleep(FEED_POLL_INTERVAL).await;
     }
 }
 
-fn tell((key, (ver, value)): (&RowKey, &(u64, String))) -> Row {
+fn to_row((key, (ver, value)): (&RowKey, &(u64, String))) -> Row {
     let (table, part, key) = key.clone();
     Row { table, part, key, value: Some(value.clone()), ver: *ver, deleted: false }
 }
