--- a/benches/policies/guards.rs
+++ b/benches/policies/guards.rs
@@ -1,4 +1,4 @@
-//! The guards and targets of the model: a call's time beside its target.
+//! The guards and targets of the model: admission, service and cancellation.
 
 use railspan::{AdmissionAction, AdmissionEvent, CallId, MicroTime, WaitingCall};
 
@@ -6,6 +6,7 @@
 use crate::parts::{AttemptEnd, ModelAttempt, ModelEvent, OrderedLoad, exponential};
 
 impl FleetModel {
+    /// Passes an attempt that arrived at a guard to its admission queue.
     pub(super) fn at_guard(&mut self, attempt: u64) {
         let Some(&ModelAttempt { call, target, .. }) = self.attempts.get(&attempt) else { return };
         let Some(call) = self.calls.get(&call) else { return };
@@ -22,13 +23,14 @@
         self.step_queue(target, AdmissionEvent::Arrive(waiting));
     }
 
+    /// Steps a guard's admission queue and executes the actions that follow.
     pub(super) fn step_queue(&mut self, target: usize, event: AdmissionEvent) {
         let mut out = Vec::new();
         self.targets[target].queue.step(self.now, event, &mut out);
-        self.carry_out(target, out);
+        self.execute_actions(target, out);
     }
 
-    pub(super) fn carry_out(&mut self, target: usize, actions: Vec<AdmissionAction>) {
+    pub(super) fn execute_actions(&mut self, target: usize, actions: Vec<AdmissionAction>) {
         for action in actions {
             match action {
                 AdmissionAction::Start(call) => self.start(target, call.0 as u64),
@@ -41,6 +43,7 @@
         }
     }
 
+    /// Starts an attempt at its target; it waits if the true slots are all in use.
     pub(super) fn start(&mut self, target: usize, attempt: u64) {
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             attempt.started = Some(self.now);
@@ -54,21 +57,23 @@
         self.serve(target, attempt);
     }
 
+    /// Draws a service time and schedules the end of service.
     pub(super) fn serve(&mut self, target: usize, attempt: u64) {
         let state = &self.targets[target];
-        let mean = self.plan.scenario.service_us * state.factor * state.burst;
-        let took = if state.failing {
+        let mean = self.plan.scenario.service_us * state.host_factor * state.burst_factor;
+        let service_us = if state.failing {
             500.0
         } else {
             0.4 * mean + exponential(&mut self.streams.service, 0.6 * mean)
         };
-        self.schedule(self.now + MicroTime(took as u64), ModelEvent::Done { attempt });
+        self.schedule(self.now + MicroTime(service_us as u64), ModelEvent::Done { attempt });
     }
 
-    /// Starts a second attempt if the first one is still under way.
+    /// Starts a second attempt if the first one is still open and the hedge budget allows
+    /// it.
     pub(super) fn hedge(&mut self, call: u64, attempt: u64) {
         let Some(state) = self.calls.get(&call) else { return };
-        if state.open != [attempt] || state.call_attempts.is_last_attempt() {
+        if state.open_attempts != [attempt] || state.call_attempts.is_last_attempt() {
             return;
         }
         if self.entries[state.entry].hedge_budget.try_take() {
@@ -77,7 +82,7 @@
         }
     }
 
-    /// The guard hears that nobody waits for an attempt any more.
+    /// Cancels an attempt at its guard, since its call has ended.
     pub(super) fn cancel(&mut self, attempt: u64) {
         let Some(ModelAttempt { target, started, answered, .. }) = self.attempts.remove(&attempt)
         else {
@@ -101,6 +106,7 @@
         self.step_queue(target, event);
     }
 
+    /// Frees a true slot, or gives it to an attempt that waits for one.
     pub(super) fn free_slot(&mut self, target: usize) {
         match self.targets[target].backlog.pop() {
             Some(next) => self.serve(target, next),
@@ -108,6 +114,7 @@
         }
     }
 
+    /// Ends the service of an attempt and sends the answer.
     pub(super) fn done(&mut self, attempt: u64) {
         let Some(&ModelAttempt { target, started: Some(started), .. }) =
             self.attempts.get(&attempt)
--- a/benches/policies/main.rs
+++ b/benches/policies/main.rs
@@ -1,12 +1,12 @@
-//! Compares selection policies in virtual time: same seed, same table.
+//! Compares selection policies in virtual time. Equal seeds give equal tables.
 //!
 //! `cargo bench --bench policies -- [--scenario NAME] [--calls N] [--seeds N]`
 
+mod disturbances;
 mod guards;
 mod model;
 mod parts;
 mod scenarios;
-mod troubles;
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,58 +17,69 @@
 use crate::model::{FleetModel, ModelBudget, ModelPlan, ModelResult};
 use crate::scenarios::{SCENARIOS, Scenario};
 
+/// Command line of the bench.
 #[derive(Debug, Options)]
 struct BenchOptions {
     #[options(help = "print this help")]
     help: bool,
 
-    #[options(help = "only scenarios whose name holds this")]
+    #[options(help = "only scenarios whose name contains this")]
     scenario: Option<String>,
 
-    #[options(help = "only policies whose name holds this")]
+    #[options(help = "only policies whose name contains this")]
     policy: Option<String>,
 
-    #[options(no_short, help = "calls of one run", default = "60000")]
+    #[options(no_short, help = "approximate number of calls of each run", default = "60000")]
     calls: u64,
 
-    #[options(no_short, help = "runs, each with a seed of its own, put together", default = "3")]
+    #[options(
+        no_short,
+        help = "number of runs with different seeds, whose results are merged",
+        default = "3"
+    )]
     seeds: u64,
 
-    #[options(no_short, help = "accepted, as cargo passes it")]
+    #[options(no_short, help = "ignored; cargo passes it")]
     bench: bool,
 }
 
-/// A policy and what it may spend on measuring.
+/// A policy with its probe budget and hedging; it gets one line of the table for each
+/// scenario.
 #[derive(Clone, Copy)]
-struct Contender {
+struct PolicyVariant {
     label: &'static str,
     policy: &'static str,
     budget: Option<ModelBudget>,
     hedging: bool,
 }
 
-/// The budget that a daemon has by default.
+/// The probe budget that a daemon has by default.
 const DEFAULT_BUDGET: ModelBudget = ModelBudget { messages_per_s: 50, bytes_per_s: 8_000 };
 
-const CONTENDERS: &[Contender] = &[
-    Contender { label: "random", policy: "random", budget: None, hedging: false },
-    Contender { label: "round_robin", policy: "round_robin", budget: None, hedging: false },
-    Contender {
+const POLICY_VARIANTS: &[PolicyVariant] = &[
+    PolicyVariant { label: "random", policy: "random", budget: None, hedging: false },
+    PolicyVariant { label: "round_robin", policy: "round_robin", budget: None, hedging: false },
+    PolicyVariant {
         label: "least_outstanding",
         policy: "least_outstanding",
         budget: None,
         hedging: false,
     },
-    Contender { label: "two_choices", policy: "two_choices", budget: None, hedging: false },
-    Contender { label: "latency", policy: "latency", budget: None, hedging: false },
-    Contender { label: "expected", policy: "expected_completion", budget: None, hedging: false },
-    Contender {
+    PolicyVariant { label: "two_choices", policy: "two_choices", budget: None, hedging: false },
+    PolicyVariant { label: "latency", policy: "latency", budget: None, hedging: false },
+    PolicyVariant {
+        label: "expected",
+        policy: "expected_completion",
+        budget: None,
+        hedging: false,
+    },
+    PolicyVariant {
         label: "expected+hedges",
         policy: "expected_completion",
         budget: None,
         hedging: true,
     },
-    Contender {
+    PolicyVariant {
         label: "expected+probes",
         policy: "expected_completion",
         budget: Some(DEFAULT_BUDGET),
@@ -78,14 +89,14 @@
 
 fn main() {
     let options = BenchOptions::parse_args_default_or_exit();
-    let holds = |filter: &Option<String>, name: &str| {
+    let matches = |filter: &Option<String>, name: &str| {
         filter.as_deref().is_none_or(|filter| name.contains(filter))
     };
-    let jobs: Vec<(Scenario, Contender)> = SCENARIOS
+    let jobs: Vec<(Scenario, PolicyVariant)> = SCENARIOS
         .iter()
-        .filter(|scenario| holds(&options.scenario, scenario.name))
-        .flat_map(|&scenario| CONTENDERS.iter().map(move |&contender| (scenario, contender)))
-        .filter(|(_, contender)| holds(&options.policy, contender.label))
+        .filter(|scenario| matches(&options.scenario, scenario.name))
+        .flat_map(|&scenario| POLICY_VARIANTS.iter().map(move |&variant| (scenario, variant)))
+        .filter(|(_, variant)| matches(&options.policy, variant.label))
         .collect();
     println!(
         "{:<15} {:<18} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  thirds",
@@ -102,18 +113,18 @@
         "msg/c",
         "B/c"
     );
-    let mut before = "";
-    for ((scenario, contender), lines) in jobs.iter().zip(run_all(&jobs, &options)) {
-        if before != scenario.name && !before.is_empty() {
+    let mut last_scenario = "";
+    for ((scenario, variant), lines) in jobs.iter().zip(run_all(&jobs, &options)) {
+        if last_scenario != scenario.name && !last_scenario.is_empty() {
             println!();
         }
-        before = scenario.name;
-        print_line(scenario, contender, &lines);
+        last_scenario = scenario.name;
+        print_line(scenario, variant, &lines);
     }
 }
 
-/// Runs all jobs on a few threads; the results keep the jobs' order.
-fn run_all(jobs: &[(Scenario, Contender)], options: &BenchOptions) -> Vec<Vec<ModelResult>> {
+/// Runs all jobs on half of the processors; the results are in the order of the jobs.
+fn run_all(jobs: &[(Scenario, PolicyVariant)], options: &BenchOptions) -> Vec<Vec<ModelResult>> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Vec<ModelResult>>> = jobs.iter().map(|_| Mutex::default()).collect();
     let workers = std::thread::available_parallelism().map_or(2, |count| count.get() / 2).max(1);
@@ -122,14 +133,14 @@
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((scenario, contender)) = jobs.get(index) else { return };
-                    let policy = railspan::policy(contender.policy).expect("registered");
+                    let Some((scenario, variant)) = jobs.get(index) else { return };
+                    let policy = railspan::policy(variant.policy).expect("registered");
                     let runs = (1..=options.seeds).map(|seed| {
                         FleetModel::run(ModelPlan {
                             scenario: *scenario,
                             policy,
-                            budget: contender.budget,
-                            hedging: contender.hedging,
+                            budget: variant.budget,
+                            hedging: variant.hedging,
                             calls: options.calls,
                             seed,
                         })
@@ -142,7 +153,8 @@
     results.into_iter().map(|result| result.into_inner().expect("worker")).collect()
 }
 
-fn print_line(scenario: &Scenario, contender: &Contender, runs: &[ModelResult]) {
+/// Prints one line of the table, merged from the runs of all seeds.
+fn print_line(scenario: &Scenario, variant: &PolicyVariant, runs: &[ModelResult]) {
     let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     for run in runs {
         latencies.add(&run.latencies).expect("same bounds");
@@ -160,7 +172,7 @@
     println!(
         "{:<15} {:<18} {:>7.1} {:>7.1} {:>7.1} {:>7.2} {:>7.2} {:>7.2} {:>7.2} {:>7.2} {:>7.3} {:>7.1}  {}",
         scenario.name,
-        contender.label,
+        variant.label,
         ms(0.5),
         ms(0.99),
         ms(0.999),
--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -1,4 +1,4 @@
-//! Entries, guards and targets in virtual time, around the real kernels.
+//! Runs railspan's selection, admission and retry code in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,60 +13,60 @@
 
 use crate::parts::{
     AttemptEnd, ModelAttempt, ModelCall, ModelEntry, ModelEvent, ModelStreams, ModelTarget,
-    OrderedLoad, exponential, rate_per_us, record, target_index, target_name,
+    OrderedLoad, arrival_rate_per_us, exponential, target_index, target_name, target_record,
 };
-use crate::scenarios::{Scenario, Trouble};
+use crate::scenarios::{Disturbance, Scenario};
 
-/// Interval at which a guard looks at its deadlines, in microseconds.
+/// Interval at which a guard checks its deadlines, in microseconds.
 const GUARD_TICK_US: u64 = 20_000;
 
-/// Bytes of a measuring message and its reply together.
+/// Bytes of a load probe and its reply together.
 const PROBE_BYTES: u32 = 120;
 
-/// Share of calls that are urgent, in hundredths, and the worths.
-const URGENT_SHARE: u32 = 20;
+/// Share of urgent calls in percent, and the worth of urgent and of ordinary calls.
+const URGENT_PERCENT: u32 = 20;
 const URGENT_WORTH: u8 = 10;
 const ORDINARY_WORTH: u8 = 3;
 
-/// What measuring may cost an entry in a second.
+/// Probe budget of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelBudget {
     pub messages_per_s: u32,
     pub bytes_per_s: u32,
 }
 
-/// What one run of the model is made of.
+/// Parameters of a run of the model.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelPlan {
     pub scenario: Scenario,
     pub policy: &'static SelectionPolicy,
-    /// What measuring may cost, or nothing for no measuring.
+    /// Probe budget; without one, no load probes are sent.
     pub budget: Option<ModelBudget>,
-    /// Whether slow calls get a second try.
+    /// Whether slow calls get a second attempt.
     pub hedging: bool,
-    /// Calls of the run, about.
+    /// Approximate number of calls of the run.
     pub calls: u64,
     pub seed: u64,
 }
 
-/// One line of the table.
+/// Result of a run.
 #[derive(Debug)]
 pub struct ModelResult {
-    /// Latency of each call in microseconds; an unserved one counts its deadline.
+    /// Latencies in microseconds; a call not served in time counts with its full deadline.
     pub latencies: Histogram<u64>,
-    /// Worth served in time, and worth offered, of urgent calls.
+    /// Urgent calls: worth served in time, and worth offered.
     pub urgent: (u64, u64),
-    /// The same of ordinary calls.
+    /// Ordinary calls: worth served in time, and worth offered.
     pub ordinary: (u64, u64),
-    /// Calls in all, refused for good, and attempts after the first.
     pub calls: u64,
+    /// Calls whose last attempt was refused.
     pub refused: u64,
     pub retried: u64,
     pub hedged: u64,
-    /// Measuring messages and their bytes.
+    /// Number of load probes and their replies, and their bytes.
     pub probe_messages: u64,
     pub probe_bytes: u64,
-    /// Calls served in time in each third of the run, and offered.
+    /// Calls served in time, and calls offered, in each third of the run.
     pub thirds: [(u64, u64); 3],
 }
 
@@ -86,23 +86,22 @@
 }
 
 impl FleetModel {
-    /// Runs a scenario as planned.
     pub fn run(plan: ModelPlan) -> ModelResult {
         let scenario = plan.scenario;
         let mut model = Self::open(plan);
         model.schedule(MicroTime(0), ModelEvent::Call);
         for target in 0..model.targets.len() {
             model.schedule(MicroTime(GUARD_TICK_US), ModelEvent::GuardTick { target });
-            if let Trouble::Bursts { .. } = scenario.trouble {
+            if let Disturbance::Bursts { .. } = scenario.disturbance {
                 model.schedule_burst(target);
             }
         }
         let third = MicroTime(model.end.0 / 3);
-        model.schedule(third, ModelEvent::TroubleStart);
-        model.schedule(third + third, ModelEvent::TroubleEnd);
-        if scenario.trouble == Trouble::ColdStart {
+        model.schedule(third, ModelEvent::DisturbanceStart);
+        model.schedule(third + third, ModelEvent::DisturbanceEnd);
+        if scenario.disturbance == Disturbance::ColdStart {
             model.targets[0].queue.leave(&mut Vec::new());
-            model.forget(0);
+            model.remove_from_entries(0);
         }
         while let Some(Reverse((at, _, event))) = model.queue.pop() {
             model.now = at;
@@ -118,23 +117,23 @@
         let scenario = plan.scenario;
         let targets: Vec<ModelTarget> = (0..scenario.targets)
             .map(|index| {
-                let wrong = scenario.trouble == Trouble::WrongSlots && index == 0;
+                let has_wrong_slots = scenario.disturbance == Disturbance::WrongSlots && index == 0;
                 ModelTarget {
                     queue: AdmissionQueue::open(scenario.slots),
-                    slots: if wrong { scenario.slots / 2 } else { scenario.slots },
-                    factor: if index % 2 == 0 { 1.0 } else { scenario.old_factor },
-                    burst: 1.0,
+                    slots: if has_wrong_slots { scenario.slots / 2 } else { scenario.slots },
+                    host_factor: if index % 2 == 0 { 1.0 } else { scenario.old_factor },
+                    burst_factor: 1.0,
                     failing: false,
                     running: 0,
                     backlog: Vec::new(),
                 }
             })
             .collect();
-        let rate = rate_per_us(&scenario);
+        let rate = arrival_rate_per_us(&scenario);
         let limits = plan.budget.unwrap_or(ModelBudget { messages_per_s: 0, bytes_per_s: 0 });
         let entries = (0..scenario.entries).map(|_| ModelEntry {
             service: ServiceTargets::new(
-                (0..scenario.targets).map(|index| record(&scenario, index, 0)).collect(),
+                (0..scenario.targets).map(|index| target_record(&scenario, index, 0)).collect(),
             ),
             retry_budget: RetryBudget::open(),
             probe_budget: ProbeBudget::open(limits.messages_per_s, limits.bytes_per_s),
@@ -171,7 +170,7 @@
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    pub(super) fn hop(&mut self) -> MicroTime {
+    pub(super) fn draw_hop_latency(&mut self) -> MicroTime {
         let mean = self.plan.scenario.hop_us as f64;
         MicroTime((mean * self.streams.network.random_range(0.5..1.5)) as u64)
     }
@@ -186,10 +185,12 @@
             ModelEvent::Cancel { attempt } => self.cancel(attempt),
             ModelEvent::Probe { entry, target } => {
                 let load = OrderedLoad(self.targets[target].queue.next_report(self.now));
-                let at = self.now + self.hop();
+                let at = self.now + self.draw_hop_latency();
                 self.schedule(at, ModelEvent::ProbeReply { entry, target, load });
             }
-            ModelEvent::ProbeReply { entry, target, load } => self.hear(entry, target, load.0),
+            ModelEvent::ProbeReply { entry, target, load } => {
+                self.record_load(entry, target, load.0)
+            }
             ModelEvent::GuardTick { target } => {
                 self.step_queue(target, AdmissionEvent::Tick);
                 if self.now < self.end || !self.calls.is_empty() {
@@ -198,16 +199,16 @@
                 }
             }
             ModelEvent::BurstStart { target } => {
-                self.targets[target].burst = self.streams.bursts.random_range(2.0..10.0);
+                self.targets[target].burst_factor = self.streams.bursts.random_range(2.0..10.0);
                 let length = self.streams.bursts.random_range(5_000..200_000);
                 self.schedule(self.now + MicroTime(length), ModelEvent::BurstEnd { target });
             }
             ModelEvent::BurstEnd { target } => {
-                self.targets[target].burst = 1.0;
+                self.targets[target].burst_factor = 1.0;
                 self.schedule_burst(target);
             }
-            ModelEvent::TroubleStart => self.trouble(true),
-            ModelEvent::TroubleEnd => self.trouble(false),
+            ModelEvent::DisturbanceStart => self.set_disturbance(true),
+            ModelEvent::DisturbanceEnd => self.set_disturbance(false),
         }
     }
 
@@ -215,8 +216,8 @@
         if self.now >= self.end {
             return;
         }
-        let mut gap = 1.0 / rate_per_us(&self.plan.scenario);
-        if let Trouble::Overload(load) = self.plan.scenario.trouble
+        let mut gap = 1.0 / arrival_rate_per_us(&self.plan.scenario);
+        if let Disturbance::Overload(load) = self.plan.scenario.disturbance
             && self.third() == 1
         {
             gap *= f64::from(self.plan.scenario.load) / f64::from(load);
@@ -224,23 +225,23 @@
         let gap = exponential(&mut self.streams.calls, gap) as u64;
         self.schedule(self.now + MicroTime(gap), ModelEvent::Call);
 
-        let urgent = self.streams.calls.random_range(0..100) < URGENT_SHARE;
+        let urgent = self.streams.calls.random_range(0..100) < URGENT_PERCENT;
         let worth = if urgent { URGENT_WORTH } else { ORDINARY_WORTH };
         let id = self.result.calls;
         self.result.calls += 1;
         let third = self.third();
         self.result.thirds[third].1 += 1;
-        self.offered(urgent).1 += u64::from(worth);
+        self.worth_totals(urgent).1 += u64::from(worth);
         let call = ModelCall {
             entry: self.streams.calls.random_range(0..self.entries.len()),
             call_attempts: CallAttempts::open(true, railspan::MAX_ATTEMPTS),
             tried: Vec::new(),
-            gone: Vec::new(),
+            leaving_targets: Vec::new(),
             priority: CallPriority { urgent, worth },
-            began: self.now,
+            started: self.now,
             deadline: self.now + MicroTime::from_millis(self.plan.scenario.deadline_ms),
             account: self.streams.calls.random_range(0..2),
-            open: Vec::new(),
+            open_attempts: Vec::new(),
         };
         self.calls.insert(id, call);
         self.try_call(id);
@@ -250,7 +251,7 @@
         ((self.now.0 * 3 / self.end.0.max(1)) as usize).min(2)
     }
 
-    const fn offered(&mut self, urgent: bool) -> &mut (u64, u64) {
+    const fn worth_totals(&mut self, urgent: bool) -> &mut (u64, u64) {
         if urgent { &mut self.result.urgent } else { &mut self.result.ordinary }
     }
 
@@ -258,26 +259,26 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let entry = call.entry;
         if call.call_attempts.is_last_attempt() {
-            // Where it was full there may be the shortest queue all the same.
-            call.tried.retain(|name| call.gone.contains(name));
+            // A full target may still have the shortest queue; leaving ones stay excluded.
+            call.tried.retain(|name| call.leaving_targets.contains(name));
         }
         let service = &mut self.entries[entry].service;
         let Some(index) =
             service.choose(self.now, self.plan.policy, &call.tried, &mut self.streams.policy)
         else {
-            if call.open.is_empty() {
+            if call.open_attempts.is_empty() {
                 self.end_call(id, false);
             }
             return;
         };
         let name = service.targets[index].name.clone();
-        let patience = hedge_after(service.targets[index].service_us());
+        let hedge_delay = hedge_after(service.targets[index].service_us());
         let target = target_index(&name);
         call.tried.push(name);
         self.sequence += 1;
         let attempt = self.sequence;
         let sent = self.now;
-        call.open.push(attempt);
+        call.open_attempts.push(attempt);
         if self.plan.budget.is_some() {
             self.probe(entry);
         }
@@ -285,10 +286,10 @@
             attempt,
             ModelAttempt { call: id, target, sent, started: None, answered: false },
         );
-        if self.plan.hedging && self.calls[&id].open.len() == 1 {
-            self.schedule(sent + patience, ModelEvent::Hedge { call: id, attempt });
+        if self.plan.hedging && self.calls[&id].open_attempts.len() == 1 {
+            self.schedule(sent + hedge_delay, ModelEvent::Hedge { call: id, attempt });
         }
-        let at = self.now + self.hop();
+        let at = self.now + self.draw_hop_latency();
         self.schedule(at, ModelEvent::AtGuard { attempt });
     }
 
@@ -299,7 +300,7 @@
         if self.entries[entry].probe_budget.try_take(self.now, 2, PROBE_BYTES) {
             self.result.probe_messages += 2;
             self.result.probe_bytes += u64::from(PROBE_BYTES);
-            let at = self.now + self.hop();
+            let at = self.now + self.draw_hop_latency();
             self.schedule(at, ModelEvent::Probe { entry, target });
         }
     }
@@ -308,11 +309,11 @@
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             attempt.answered = true;
         }
-        let at = self.now + self.hop();
+        let at = self.now + self.draw_hop_latency();
         self.schedule(at, ModelEvent::AtEntry { attempt, end });
     }
 
-    pub(super) fn hear(&mut self, entry: usize, target: usize, load: LoadReport) {
+    pub(super) fn record_load(&mut self, entry: usize, target: usize, load: LoadReport) {
         let now = self.now;
         if let Some(record) = self.entries[entry].service.find(&target_name(target)) {
             record.record_report(now, load);
@@ -340,9 +341,9 @@
             AttemptEnd::Refused { .. } => AttemptResult::Refused,
         };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.open.retain(|open| *open != attempt);
+        call.open_attempts.retain(|open| *open != attempt);
         if matches!(end, AttemptEnd::Refused { leaving: true, .. }) {
-            call.gone.push(target_name(target));
+            call.leaving_targets.push(target_name(target));
         }
         let in_time = now < call.deadline;
         match call.call_attempts.record(attempt_result, in_time, &mut entry.retry_budget) {
@@ -350,8 +351,8 @@
                 entry.hedge_budget.record_success();
                 self.end_call(id, !failed);
             }
-            // The other attempt may still bring an answer.
-            _ if !call.open.is_empty() => {}
+            // Another attempt is still open and may be answered.
+            _ if !call.open_attempts.is_empty() => {}
             RetryDecision::Retry => {
                 self.result.retried += 1;
                 self.try_call(id);
@@ -363,35 +364,35 @@
         }
     }
 
-    /// Books a call; one that was not served counts its whole deadline.
+    /// Counts a call, with its full deadline if it was not served, and cancels its attempts.
     pub(super) fn end_call(&mut self, id: u64, answered: bool) {
         let Some(call) = self.calls.remove(&id) else { return };
-        for &attempt in &call.open {
+        for &attempt in &call.open_attempts {
             let target = self.attempts.get(&attempt).map(|attempt| attempt.target);
             let record = target
                 .and_then(|target| self.entries[call.entry].service.find(&target_name(target)));
             if let Some(record) = record {
                 record.finish(self.now, None, false);
             }
-            let at = self.now + self.hop();
+            let at = self.now + self.draw_hop_latency();
             self.schedule(at, ModelEvent::Cancel { attempt });
         }
-        let deadline = call.deadline.since(call.began);
-        let took = self.now.since(call.began);
+        let deadline = call.deadline.since(call.started);
+        let took = self.now.since(call.started);
         let served = answered && took <= deadline;
-        let counted = if served { took } else { deadline };
-        self.result.latencies.saturating_record(counted.0.max(1));
+        let latency = if served { took } else { deadline };
+        self.result.latencies.saturating_record(latency.0.max(1));
         if served {
             let worth = u64::from(call.priority.worth);
-            self.offered(call.priority.urgent).0 += worth;
-            let third = (call.began.0 * 3 / self.end.0.max(1)) as usize;
+            self.worth_totals(call.priority.urgent).0 += worth;
+            let third = (call.started.0 * 3 / self.end.0.max(1)) as usize;
             self.result.thirds[third.min(2)].0 += 1;
         }
     }
 
     pub(super) fn finish(mut self) -> ModelResult {
-        let left: Vec<u64> = self.calls.keys().copied().collect();
-        for id in left {
+        let unfinished: Vec<u64> = self.calls.keys().copied().collect();
+        for id in unfinished {
             self.end_call(id, false);
         }
         self.result
--- a/benches/policies/parts.rs
+++ b/benches/policies/parts.rs
@@ -1,4 +1,4 @@
-//! What the model is made of: calls, tries, entries, targets, and what happens to them.
+//! The parts of the model: calls, attempts, entries, targets, and events.
 
 use railspan::{
     AdmissionQueue, CallAttempts, CallPriority, LoadReport, MicroTime, ProbeBudget, RetryBudget,
@@ -9,6 +9,7 @@
 
 use crate::scenarios::Scenario;
 
+/// An event in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ModelEvent {
     Call,
@@ -22,11 +23,12 @@
     GuardTick { target: usize },
     BurstStart { target: usize },
     BurstEnd { target: usize },
-    TroubleStart,
-    TroubleEnd,
+    DisturbanceStart,
+    DisturbanceEnd,
 }
 
-/// A load report as part of an event; its order has no meaning.
+/// A load report in an event. All reports compare as equal, so that they have no
+/// influence on the order of events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct OrderedLoad(pub(super) LoadReport);
 
@@ -42,6 +44,7 @@
     }
 }
 
+/// How an attempt ended at the guard.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum AttemptEnd {
     Answered { failed: bool, load: OrderedLoad },
@@ -51,24 +54,25 @@
 pub(super) struct ModelCall {
     pub(super) entry: usize,
     pub(super) call_attempts: CallAttempts,
+    /// Targets that earlier attempts were sent to.
     pub(super) tried: Vec<TargetName>,
-    /// Of those, the ones that are leaving.
-    pub(super) gone: Vec<TargetName>,
+    /// Targets that refused an attempt because they are leaving.
+    pub(super) leaving_targets: Vec<TargetName>,
     pub(super) priority: CallPriority,
-    pub(super) began: MicroTime,
+    pub(super) started: MicroTime,
     pub(super) deadline: MicroTime,
     pub(super) account: u8,
-    /// Attempts under way.
-    pub(super) open: Vec<u64>,
+    /// Attempts without a result so far.
+    pub(super) open_attempts: Vec<u64>,
 }
 
 pub(super) struct ModelAttempt {
     pub(super) call: u64,
     pub(super) target: usize,
     pub(super) sent: MicroTime,
-    /// When the target began it, if it did.
+    /// When the guard passed it to the target, if it did.
     pub(super) started: Option<MicroTime>,
-    /// Whether the guard has answered; the answer may still be on its way.
+    /// Whether the guard has sent its reply, which may not have reached the entry.
     pub(super) answered: bool,
 }
 
@@ -81,17 +85,20 @@
 
 pub(super) struct ModelTarget {
     pub(super) queue: AdmissionQueue,
+    /// True number of slots.
     pub(super) slots: u16,
-    pub(super) factor: f64,
-    pub(super) burst: f64,
+    /// Factor on service times due to the age of the host.
+    pub(super) host_factor: f64,
+    /// Factor on service times due to a burst or a cold start.
+    pub(super) burst_factor: f64,
     pub(super) failing: bool,
     pub(super) running: u16,
-    /// Started calls that wait for a true slot.
+    /// Attempts that the guard has started but that wait for one of the true slots.
     pub(super) backlog: Vec<u64>,
 }
 
-/// Random numbers, a stream for each use, so that a policy's draws change
-/// neither the calls that come nor the bursts that hit.
+/// Random numbers with a separate stream for each use, so that the number of draws by
+/// a policy changes neither the arrivals of calls nor the bursts.
 pub(super) struct ModelStreams {
     pub(super) calls: Pcg64Mcg,
     pub(super) bursts: Pcg64Mcg,
@@ -113,13 +120,14 @@
     }
 }
 
+/// Draws from the exponential distribution.
 pub(super) fn exponential(rng: &mut Pcg64Mcg, mean: f64) -> f64 {
     let uniform: f64 = rng.random_range(1e-9..1.0);
     -uniform.ln() * mean
 }
 
-/// Returns the calls in a microsecond that make the scenario's load.
-pub(super) fn rate_per_us(scenario: &Scenario) -> f64 {
+/// Returns the arrival rate of the scenario's load, in calls per microsecond.
+pub(super) fn arrival_rate_per_us(scenario: &Scenario) -> f64 {
     let speed =
         |index: usize| if index.is_multiple_of(2) { 1.0 } else { 1.0 / scenario.old_factor };
     let speeds: f64 = (0..scenario.targets).map(speed).sum();
@@ -127,8 +135,9 @@
     capacity * f64::from(scenario.load) / 100.0
 }
 
-pub(super) fn record(scenario: &Scenario, index: usize, joined: u64) -> TargetRecord {
-    TargetRecord::new(target_name(index), None, scenario.slots, MicroTime(joined))
+/// Creates an entry's record of a target.
+pub(super) fn target_record(scenario: &Scenario, index: usize, joined_us: u64) -> TargetRecord {
+    TargetRecord::new(target_name(index), None, scenario.slots, MicroTime(joined_us))
 }
 
 pub(super) fn target_name(index: usize) -> TargetName {
--- a/benches/policies/scenarios.rs
+++ b/benches/policies/scenarios.rs
@@ -1,49 +1,51 @@
-//! The scenarios that policies are compared in.
+//! The scenarios in which policies are compared.
 
-/// What happens to targets while calls come.
+/// A disturbance of targets or of the load during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum Disturbance {
+    /// No disturbance.
     None,
-    /// Neighbours' bursts slow single targets 2 to 10 times for 5 to 200 ms.
+    /// Load bursts of other tenants slow down single targets by a factor of 2 to 10
+    /// for 5 to 200 ms.
     Bursts {
-        /// Mean time between two bursts on one target, in milliseconds.
+        /// Mean time from the end of a burst to the next one on the same target, in
+        /// milliseconds.
         gap_ms: u64,
     },
-    /// One target answers errors at once, for a third of the run.
+    /// One target quickly responds with errors in the middle third of the run.
     FailFast,
-    /// One target drains for a third of the run, then is back.
+    /// One target drains in the middle third of the run, then returns.
     Drain,
-    /// One target joins late and is slow at first.
+    /// One target joins after the first third of the run and is slow in the second.
     ColdStart,
-    /// One target takes half the calls at once that it says.
+    /// One target has half as many slots as it reports.
     WrongSlots,
-    /// The load is this many hundredths of capacity in the middle third.
+    /// The load in the middle third of the run, in percent of capacity.
     Overload(u32),
 }
 
-/// One scenario.
+/// A scenario: one service, its load and a disturbance.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     /// Short name.
     pub name: &'static str,
-    /// Targets of the service.
+    /// Number of targets of the service.
     pub targets: usize,
-    /// Calls that each runs at once.
+    /// Slots of each target.
     pub slots: u16,
-    /// Daemons that take calls for it.
+    /// Number of daemons whose entries accept calls for the service.
     pub entries: usize,
-    /// Mean time of a call on a new host, in microseconds.
+    /// Mean service time on a new host, in microseconds.
     pub service_us: f64,
-    /// Every second host is old and this much slower.
+    /// Every second host is old; factor on its service times.
     pub old_factor: f64,
-    /// Load in hundredths of what all slots can do.
+    /// Load in percent of the capacity of all slots.
     pub load: u32,
-    /// What goes wrong.
-    pub trouble: Trouble,
-    /// One way between two daemons, in microseconds.
+    /// Disturbance during the run.
+    pub disturbance: Disturbance,
+    /// Mean one-way latency between two daemons, in microseconds.
     pub hop_us: u64,
-    /// Time a call has, in milliseconds.
+    /// Time from the arrival of a call to its deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -55,34 +57,35 @@
     service_us: 8_000.0,
     old_factor: 2.0,
     load: 70,
-    trouble: Trouble::None,
+    disturbance: Disturbance::None,
     hop_us: 700,
     deadline_ms: 300,
 };
 
 const CONSORTIUM: Scenario = Scenario { slots: 6, hop_us: 350, ..FUNDACION };
 
-/// One service of the size to design for: many entries, each with a thin view.
+/// One service of a fleet of the design size: many entries, each of which sees only a
+/// small part of the calls.
 const FLEET: Scenario = Scenario { targets: 14, entries: 200, hop_us: 500, ..FUNDACION };
 
-const BURSTS: Trouble = Trouble::Bursts { gap_ms: 400 };
+const BURSTS: Disturbance = Disturbance::Bursts { gap_ms: 400 };
 
 /// All scenarios, in the order of the table.
 pub const SCENARIOS: &[Scenario] = &[
     Scenario { name: "f-mixed-50", load: 50, ..FUNDACION },
     Scenario { name: "f-mixed-70", ..FUNDACION },
     Scenario { name: "f-mixed-90", load: 90, ..FUNDACION },
-    Scenario { name: "f-bursts-50", load: 50, trouble: BURSTS, ..FUNDACION },
-    Scenario { name: "f-failfast", load: 50, trouble: Trouble::FailFast, ..FUNDACION },
-    Scenario { name: "f-drain", load: 60, trouble: Trouble::Drain, ..FUNDACION },
-    Scenario { name: "f-coldstart", load: 45, trouble: Trouble::ColdStart, ..FUNDACION },
-    Scenario { name: "f-wrongslots", load: 60, trouble: Trouble::WrongSlots, ..FUNDACION },
-    Scenario { name: "f-overload", trouble: Trouble::Overload(120), ..FUNDACION },
+    Scenario { name: "f-bursts-50", load: 50, disturbance: BURSTS, ..FUNDACION },
+    Scenario { name: "f-failfast", load: 50, disturbance: Disturbance::FailFast, ..FUNDACION },
+    Scenario { name: "f-drain", load: 60, disturbance: Disturbance::Drain, ..FUNDACION },
+    Scenario { name: "f-coldstart", load: 45, disturbance: Disturbance::ColdStart, ..FUNDACION },
+    Scenario { name: "f-wrongslots", load: 60, disturbance: Disturbance::WrongSlots, ..FUNDACION },
+    Scenario { name: "f-overload", disturbance: Disturbance::Overload(120), ..FUNDACION },
     Scenario { name: "c-mixed-70", ..CONSORTIUM },
-    Scenario { name: "c-bursts-50", load: 50, trouble: BURSTS, ..CONSORTIUM },
-    Scenario { name: "c-overload", trouble: Trouble::Overload(120), ..CONSORTIUM },
+    Scenario { name: "c-bursts-50", load: 50, disturbance: BURSTS, ..CONSORTIUM },
+    Scenario { name: "c-overload", disturbance: Disturbance::Overload(120), ..CONSORTIUM },
     Scenario { name: "fleet-70", ..FLEET },
-    Scenario { name: "fleet-bursts", load: 50, trouble: BURSTS, ..FLEET },
-    Scenario { name: "fleet-failfast", load: 60, trouble: Trouble::FailFast, ..FLEET },
-    Scenario { name: "fleet-overload", trouble: Trouble::Overload(120), ..FLEET },
+    Scenario { name: "fleet-bursts", load: 50, disturbance: BURSTS, ..FLEET },
+    Scenario { name: "fleet-failfast", load: 60, disturbance: Disturbance::FailFast, ..FLEET },
+    Scenario { name: "fleet-overload", disturbance: Disturbance::Overload(120), ..FLEET },
 ];
