--- a/benches/capacity/added.rs
+++ b/benches/capacity/added.rs
@@ -1,4 +1,5 @@
-//! Time that the two hops add to a call, against calling the target directly.
+//! Latency that the two hops through railspan add to a call, compared with a direct call
+//! to the target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,10 +11,11 @@
 use super::fleet::BenchFleet;
 use super::usage;
 
-/// Calls of one measurement.
+/// Largest number of calls of one measurement.
 const CALLS: u32 = 20_000;
 
-/// Rates, in calls a second through one entry; the letter's mean is 336.
+/// Rates that are measured, in calls per second through one entry; the users' mean is
+/// 336.
 const RATES: &[u32] = &[100, 336, 1_000, 2_000];
 
 pub fn measure() {
@@ -22,15 +24,15 @@
     );
     let fleet = BenchFleet::spawn(5, 4, "grillas", 0);
     for &rate in RATES {
-        let direct = run(&fleet, rate, false);
-        let before = cpu(&fleet);
-        let through = run(&fleet, rate, true);
-        let used = (cpu(&fleet) - before) * 1e6 / f64::from(CALLS.min(rate * 20));
+        let direct = measure_latencies(&fleet, rate, false);
+        let cpu_before = total_cpu_s(&fleet);
+        let through = measure_latencies(&fleet, rate, true);
+        let cpu_us = (total_cpu_s(&fleet) - cpu_before) * 1e6 / f64::from(CALLS.min(rate * 20));
         let ms = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         println!(
-            "{rate:>6} {:>9.3}/{:<8.3} {:>9.3}/{:<8.3} {:>8.3}/{:<8.3} {used:>8.0}",
+            "{rate:>6} {:>9.3}/{:<8.3} {:>9.3}/{:<8.3} {:>8.3}/{:<8.3} {cpu_us:>8.0}",
             ms(&direct, 0.5),
             ms(&direct, 0.99),
             ms(&through, 0.5),
@@ -41,29 +43,30 @@
     }
 }
 
-fn cpu(fleet: &BenchFleet) -> f64 {
+fn total_cpu_s(fleet: &BenchFleet) -> f64 {
     fleet.daemons.iter().map(|daemon| usage::read(daemon.id()).cpu_s).sum()
 }
 
-/// Calls at a fixed rate; returns the latencies in microseconds.
+/// Makes calls at a fixed rate for at most 20 seconds; returns the latencies in
+/// microseconds.
 ///
-/// Directly: each target in turn. Through: the entry of the fifth daemon,
-/// which has no target of its own.
-fn run(fleet: &BenchFleet, rate: u32, through: bool) -> Histogram<u64> {
+/// Direct calls go to each target in turn. With `through`, calls go to the entry of the
+/// fifth daemon, which has no target on its own host.
+fn measure_latencies(fleet: &BenchFleet, rate: u32, through: bool) -> Histogram<u64> {
     let client = CallerClient::open();
     let entry = fleet.daemons[4].endpoints().caller;
     let targets: Arc<[SocketAddr]> = fleet.targets.iter().map(TargetStandin::address).collect();
     let calls = CALLS.min(rate * 20);
     fleet.runtime.block_on(async {
-        let began = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
         for number in 0..calls {
-            let due = began + Duration::from_secs(1) * number / rate;
+            let due = started + Duration::from_secs(1) * number / rate;
             tokio::time::sleep_until(due).await;
             let (client, targets) = (client.clone(), Arc::clone(&targets));
             tasks.spawn(async move {
                 let path = format!("/item/{number}?size=1000&us=0");
-                let since = Instant::now();
+                let sent = Instant::now();
                 if through {
                     let report = client.call(entry, &request(path)).await;
                     assert_eq!(report.verdict, Verdict::Complete, "{report:?}");
@@ -71,7 +74,7 @@
                     let target = targets[number as usize % targets.len()];
                     client.get(target, &path).await.expect("direct call");
                 }
-                since.elapsed()
+                sent.elapsed()
             });
         }
         let mut histogram = Histogram::new_with_bounds(1, 10_000_000, 3).expect("bounds");
--- a/benches/capacity/claims.rs
+++ b/benches/capacity/claims.rs
@@ -1,4 +1,4 @@
-//! How many keyed calls a second the table's writes carry.
+//! Rate of calls with an idempotency key that the table's write rate allows.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,42 +8,42 @@
 
 use super::fleet::BenchFleet;
 
-/// Callers at once.
-const AT_ONCE: &[usize] = &[4, 16, 48];
+/// Numbers of concurrent callers that are measured.
+const CALLER_COUNTS: &[usize] = &[4, 16, 48];
 
-/// Calls of each caller.
-const EACH: usize = 60;
+/// Number of calls of each caller.
+const CALLS_PER_CALLER: usize = 60;
 
 pub fn measure() {
     println!("callers  calls/s  complete  refused  commits/s  claims/commit");
     let fleet = BenchFleet::spawn(3, 3, "avisos", 1_000);
-    for &callers in AT_ONCE {
+    for &callers in CALLER_COUNTS {
         measure_callers(&fleet, callers);
     }
 }
 
 fn measure_callers(fleet: &BenchFleet, callers: usize) {
     let client = CallerClient::open();
-    let before = fleet.platform.count("commit");
-    let began = Instant::now();
+    let commits_before = fleet.platform.count("commit");
+    let started = Instant::now();
     let refused = Arc::new(AtomicU64::new(0));
     let verdicts = fleet.runtime.block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
         for caller in 0..callers {
             let (client, refused) = (client.clone(), Arc::clone(&refused));
-            let place = fleet.daemons[caller % fleet.daemons.len()].endpoints().caller;
+            let entry = fleet.daemons[caller % fleet.daemons.len()].endpoints().caller;
             tasks.spawn(async move {
                 let mut verdicts = Vec::new();
-                for number in 0..EACH {
+                for number in 0..CALLS_PER_CALLER {
                     let key = format!("{callers}-{caller}-{number}");
                     let call = request(key);
-                    let mut report = client.call(place, &call).await;
-                    // As a caller should: come back when told to.
+                    let mut report = client.call(entry, &call).await;
+                    // Retries a refused call after the delay that the response gives.
                     while report.verdict == Verdict::NotRun {
-                        let wait = report.retry_after_ms.unwrap_or(1_000);
-                        tokio::time::sleep(Duration::from_millis(u64::from(wait))).await;
+                        let wait_ms = report.retry_after_ms.unwrap_or(1_000);
+                        tokio::time::sleep(Duration::from_millis(u64::from(wait_ms))).await;
                         refused.fetch_add(1, Ordering::Relaxed);
-                        report = client.call(place, &call).await;
+                        report = client.call(entry, &call).await;
                     }
                     verdicts.push(report.verdict);
                 }
@@ -52,15 +52,15 @@
         }
         tasks.join_all().await.concat()
     });
-    let took = began.elapsed().as_secs_f64();
-    let count = |wanted| verdicts.iter().filter(|&&verdict| verdict == wanted).count();
-    let commits = (fleet.platform.count("commit") - before) as f64;
+    let took_s = started.elapsed().as_secs_f64();
+    let count = |expected| verdicts.iter().filter(|&&verdict| verdict == expected).count();
+    let commits = (fleet.platform.count("commit") - commits_before) as f64;
     println!(
         "{callers:>7} {:>8.0} {:>9} {:>8} {:>10.0} {:>14.2}",
-        verdicts.len() as f64 / took,
+        verdicts.len() as f64 / took_s,
         count(Verdict::Complete),
         refused.load(Ordering::Relaxed),
-        commits / took,
+        commits / took_s,
         count(Verdict::Complete) as f64 / commits.max(1.0)
     );
 }
--- a/benches/capacity/fleet.rs
+++ b/benches/capacity/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of daemons as real processes: control cost, changes, losses.
+//! Fleets of daemons as real processes: cost of an idle fleet, time to apply a new
+//! configuration, and time to detect a dead daemon.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,21 +13,21 @@
 
 use super::usage;
 
-/// Sizes measured.
+/// Numbers of daemons that are measured.
 const SIZES: &[usize] = &[10, 40, 120];
 
-/// Time over which an idle fleet is watched.
-const WATCHED: Duration = Duration::from_secs(15);
+/// Time for which an idle fleet is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(15);
 
-/// Longest wait for anything.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Longest wait for a condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Changes published in a row.
-const CHANGES: u32 = 5;
+/// Number of revisions that are published one after the other.
+const PUBLISHED_REVISIONS: u32 = 5;
 
 const TEMPLATE: &str = include_str!("../../examples/fundacion.jsonc");
 
-/// A fleet whose daemons have a target each.
+/// A fleet of daemons, the first ones with a target each.
 pub struct BenchFleet {
     pub platform: PlatformStandin,
     pub daemons: Vec<DaemonProcess>,
@@ -35,7 +36,8 @@
 }
 
 impl BenchFleet {
-    /// Starts a fleet and waits until each daemon knows all targets.
+    /// Starts `size` daemons and `with_targets` targets, and waits until each daemon knows
+    /// all members and targets.
     pub fn spawn(size: usize, with_targets: usize, service: &str, service_us: u64) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = PlatformStandin::spawn(any, PlatformLimits::default()).expect("platform");
@@ -74,7 +76,7 @@
             }
             fleet.daemons.push(daemon);
         }
-        fleet.wait(|fleet, admin| {
+        fleet.wait_until(|fleet, admin| {
             let state = fleet.page(admin, "/state");
             let targets = state["entry"]["services"][service]["targets"].as_array().map(Vec::len);
             let members = state["peers"]["members"].as_array().map(Vec::len);
@@ -97,16 +99,19 @@
         page.ok().and_then(|(_, body)| serde_json::from_slice(&body).ok()).unwrap_or_default()
     }
 
-    /// Waits until something holds for every daemon; returns how long it took.
-    fn wait(&self, holds: impl Fn(&Self, SocketAddr) -> bool) -> Duration {
-        let began = Instant::now();
+    /// Waits until a condition holds for every daemon; returns the time that took.
+    fn wait_until(&self, holds: impl Fn(&Self, SocketAddr) -> bool) -> Duration {
+        let started = Instant::now();
         for daemon in &self.daemons {
             while !holds(self, daemon.endpoints().admin) {
-                assert!(began.elapsed() < LIMIT, "the fleet did not get there");
+                assert!(
+                    started.elapsed() < WAIT_LIMIT,
+                    "a daemon did not reach the expected state within {WAIT_LIMIT:?}"
+                );
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
-        began.elapsed()
+        started.elapsed()
     }
 
     /// Sums a counter over all daemons.
@@ -121,6 +126,7 @@
         pages.sum()
     }
 
+    /// Returns the total processor time in seconds, and the mean memory of a daemon in MiB.
     fn usage(&self) -> (f64, f64) {
         let usages: Vec<_> = self.daemons.iter().map(|daemon| usage::read(daemon.id())).collect();
         let cpu = usages.iter().map(|usage| usage.cpu_s).sum::<f64>();
@@ -131,7 +137,7 @@
 
 pub fn measure() {
     println!(
-        "daemons  start_s  cpu_%  memory_MiB  gossip_B/s  records/s  change_s(max of {CHANGES})  dead_s"
+        "daemons  start_s  cpu_%  memory_MiB  gossip_B/s  records/s  change_s(max of {PUBLISHED_REVISIONS})  dead_s"
     );
     for &size in SIZES {
         measure_size(size);
@@ -139,41 +145,42 @@
 }
 
 fn measure_size(size: usize) {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut fleet = BenchFleet::spawn(size, 4, "grillas", 5_000);
-    let start = began.elapsed().as_secs_f64();
+    let start_s = started.elapsed().as_secs_f64();
     std::thread::sleep(Duration::from_secs(20));
 
     let (cpu, _) = fleet.usage();
     let bytes = fleet.counter("railspan_gossip_bytes_total");
     let records = fleet.counter("railspan_sync_records_total");
-    let began = Instant::now();
-    std::thread::sleep(WATCHED);
+    let started = Instant::now();
+    std::thread::sleep(MEASURED_TIME);
     let (cpu_after, memory) = fleet.usage();
-    let watched = began.elapsed().as_secs_f64() * size as f64;
-    let bytes = (fleet.counter("railspan_gossip_bytes_total") - bytes) / watched;
-    let records = (fleet.counter("railspan_sync_records_total") - records) / watched;
-    let cpu = 100.0 * (cpu_after - cpu) / watched;
+    let daemon_seconds = started.elapsed().as_secs_f64() * size as f64;
+    let bytes = (fleet.counter("railspan_gossip_bytes_total") - bytes) / daemon_seconds;
+    let records = (fleet.counter("railspan_sync_records_total") - records) / daemon_seconds;
+    let cpu = 100.0 * (cpu_after - cpu) / daemon_seconds;
 
     let mut slowest = Duration::ZERO;
-    for _ in 0..CHANGES {
+    for _ in 0..PUBLISHED_REVISIONS {
         let revision = fleet.publish();
-        let took = fleet.wait(|fleet, admin| fleet.page(admin, "/status")["in_force"] == revision);
+        let took =
+            fleet.wait_until(|fleet, admin| fleet.page(admin, "/status")["in_force"] == revision);
         slowest = slowest.max(took);
     }
-    let dead = measure_death(&mut fleet);
+    let dead_s = measure_death_detection(&mut fleet);
     println!(
-        "{size:>7} {start:>8.1} {cpu:>6.2} {memory:>11.1} {bytes:>11.0} {records:>10.2} {:>22.1} {dead:>7.1}",
+        "{size:>7} {start_s:>8.1} {cpu:>6.2} {memory:>11.1} {bytes:>11.0} {records:>10.2} {:>22.1} {dead_s:>7.1}",
         slowest.as_secs_f64()
     );
 }
 
-/// Kills one daemon; returns when all others hold it for dead, in seconds.
-fn measure_death(fleet: &mut BenchFleet) -> f64 {
+/// Kills one daemon; returns the time in seconds until all others consider it dead.
+fn measure_death_detection(fleet: &mut BenchFleet) -> f64 {
     let mut killed = fleet.daemons.pop().expect("a daemon");
     let host = format!("host-plata-{:04}", fleet.daemons.len());
     killed.kill().expect("kill");
-    let took = fleet.wait(|fleet, admin| {
+    let took = fleet.wait_until(|fleet, admin| {
         let view = fleet.page(admin, "/members");
         let members = view["members"].as_array().cloned().unwrap_or_default();
         members.iter().any(|member| member["host"] == host && member["state"] == "dead")
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,4 +1,4 @@
-//! Measures the slopes that docs/CAPACITY.md is worked out from.
+//! Measures the costs from which docs/CAPACITY.md is calculated.
 //!
 //! `cargo bench --bench capacity -- members|table|fleet|added|claims`
 
@@ -9,7 +9,7 @@
 mod table;
 mod usage;
 
-/// One measurement, by the name it is called with.
+/// All measurements by their names on the command line.
 const MEASUREMENTS: &[(&str, fn())] = &[
     ("members", members::measure),
     ("table", table::measure),
@@ -19,10 +19,10 @@
 ];
 
 fn main() {
-    let wanted: Vec<String> =
+    let selected: Vec<String> =
         std::env::args().skip(1).filter(|argument| !argument.starts_with('-')).collect();
     for (name, measure) in MEASUREMENTS {
-        if wanted.is_empty() || wanted.iter().any(|wanted| wanted == name) {
+        if selected.is_empty() || selected.iter().any(|selected| selected == name) {
             println!("== {name}");
             measure();
         }
--- a/benches/capacity/members.rs
+++ b/benches/capacity/members.rs
@@ -1,4 +1,5 @@
-//! Membership by the thousand, in one process and without I/O.
+//! Cost of the membership state with up to thousands of members, in one process and
+//! without I/O.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -10,13 +11,13 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// Sizes measured; the last but one is the size to design for.
+/// Numbers of members that are measured; the last but one is the design size.
 const SIZES: &[usize] = &[275, 550, 984, 2_000];
 
-/// Periods driven.
+/// Number of protocol periods that are measured, and of messages.
 const PERIODS: u64 = 400;
 
-/// Services of the fleet.
+/// Number of services of the fleet.
 const SERVICES: usize = 79;
 
 pub fn measure() {
@@ -28,44 +29,51 @@
 
 fn measure_size(size: usize) {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let before = super::usage::read(std::process::id()).memory_mib;
+    let memory_before = super::usage::read(std::process::id()).memory_mib;
     let mut state = MembershipState::open(record(0));
     let mut out = Vec::new();
     let others: Vec<MemberRecord> = (1..size).map(record).collect();
-    let exchange: usize =
-        others.iter().filter_map(|record| encode(record).ok()).map(|b| b.len()).sum();
+    let exchange_bytes: usize =
+        others.iter().filter_map(|record| encode(record).ok()).map(|encoded| encoded.len()).sum();
     state.step(MicroTime(0), MembershipEvent::RecordsReceived(others), &mut rng, &mut out);
-    let memory = (super::usage::read(std::process::id()).memory_mib - before) * 1_024.0;
+    let memory_kib = (super::usage::read(std::process::id()).memory_mib - memory_before) * 1_024.0;
 
-    // The first periods spread the news of everybody; then it is calm.
-    let mut now = 0;
-    drive(&mut state, &mut now, 2_000, &mut rng);
-    let began = Instant::now();
-    let bytes = drive(&mut state, &mut now, PERIODS, &mut rng);
-    let period = began.elapsed().as_secs_f64() * 1e6 / PERIODS as f64;
+    // In the first periods the new members are still disseminated; only the steady state
+    // after that is measured.
+    let mut now_ms = 0;
+    run_periods(&mut state, &mut now_ms, 2_000, &mut rng);
+    let started = Instant::now();
+    let bytes = run_periods(&mut state, &mut now_ms, PERIODS, &mut rng);
+    let period_us = started.elapsed().as_secs_f64() * 1e6 / PERIODS as f64;
 
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..PERIODS {
         let message = ping(number);
         out.clear();
         let event = MembershipEvent::Message { from: address(1), message };
-        state.step(MicroTime::from_millis(now), event, &mut rng, &mut out);
+        state.step(MicroTime::from_millis(now_ms), event, &mut rng, &mut out);
     }
-    let message = began.elapsed().as_secs_f64() * 1e6 / PERIODS as f64;
+    let message_us = started.elapsed().as_secs_f64() * 1e6 / PERIODS as f64;
     println!(
-        "{size:>7} {period:>10.1} {message:>11.1} {:>9.0} {exchange:>11} {memory:>10.0}",
+        "{size:>7} {period_us:>10.1} {message_us:>11.1} {:>9.0} {exchange_bytes:>11} {memory_kib:>10.0}",
         bytes as f64 / PERIODS as f64
     );
 }
 
-/// Drives so many periods of five ticks, each probe answered; returns bytes sent.
-fn drive(state: &mut MembershipState, now: &mut u64, periods: u64, rng: &mut Pcg64Mcg) -> usize {
+/// Runs periods of five ticks each, in which every message gets an acknowledgement.
+/// Returns the bytes sent.
+fn run_periods(
+    state: &mut MembershipState,
+    now_ms: &mut u64,
+    periods: u64,
+    rng: &mut Pcg64Mcg,
+) -> usize {
     let mut bytes = 0;
     for _ in 0..periods * 5 {
-        *now += 100;
+        *now_ms += 100;
         let mut out = Vec::new();
-        state.step(MicroTime::from_millis(*now), MembershipEvent::Tick, rng, &mut out);
-        let answers: Vec<MembershipEvent> = out
+        state.step(MicroTime::from_millis(*now_ms), MembershipEvent::Tick, rng, &mut out);
+        let replies: Vec<MembershipEvent> = out
             .iter()
             .filter_map(|action| {
                 let MembershipAction::Send { to, message } = action else { return None };
@@ -74,8 +82,8 @@
                 Some(MembershipEvent::Message { from: *to, message: ack(index, message.number) })
             })
             .collect();
-        for answer in answers {
-            state.step(MicroTime::from_millis(*now), answer, rng, &mut Vec::new());
+        for reply in replies {
+            state.step(MicroTime::from_millis(*now_ms), reply, rng, &mut Vec::new());
         }
     }
     bytes
@@ -107,7 +115,7 @@
     format!("host-plata-{index:04}")
 }
 
-/// Makes the record of one member of the size to design for.
+/// Creates the record of a member in a fleet of the design size.
 pub fn record(index: usize) -> MemberRecord {
     let service = format!("service-{:02}", index % SERVICES);
     MemberRecord {
--- a/benches/capacity/table.rs
+++ b/benches/capacity/table.rs
@@ -1,7 +1,7 @@
-//! One real daemon among as many members as the table names.
+//! Memory and processor time of one real daemon with many members in the store's table.
 //!
-//! The members are rows only: the daemon probes them in vain and takes them for
-//! dead one after another, which is more work than a calm fleet is.
+//! The other members exist only as rows: probes to them fail and the daemon declares
+//! them dead one after another, which is more work than in an undisturbed fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use super::members::record;
 use super::usage;
 
-/// Members measured.
+/// Numbers of members that are measured.
 const SIZES: &[usize] = &[1, 275, 550, 1_100];
 
-/// Rows of one transaction.
-const BATCH: usize = 50;
+/// Rows per transaction.
+const BATCH_ROWS: usize = 50;
 
-/// Time over which the daemon is watched.
-const WATCHED: Duration = Duration::from_secs(10);
+/// Time for which the daemon runs before the measurement, and duration of the
+/// measurement.
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 
 pub fn measure() {
     println!("members  memory_MiB  cpu_%");
@@ -32,7 +33,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformStandin::spawn(any, PlatformLimits::default()).expect("platform");
     let runtime = tokio::runtime::Runtime::new().expect("runtime");
-    runtime.block_on(fill(&platform, size));
+    runtime.block_on(write_members(&platform, size));
     let daemon = DaemonProcess::spawn(&DaemonSpec {
         advertised: None,
         log_file: None,
@@ -46,21 +47,21 @@
         deployment: None,
     });
     let daemon = daemon.expect("daemon");
-    std::thread::sleep(WATCHED);
+    std::thread::sleep(MEASURED_TIME);
     let before = usage::read(daemon.id());
-    std::thread::sleep(WATCHED);
+    std::thread::sleep(MEASURED_TIME);
     let after = usage::read(daemon.id());
-    let cpu = 100.0 * (after.cpu_s - before.cpu_s) / WATCHED.as_secs_f64();
+    let cpu = 100.0 * (after.cpu_s - before.cpu_s) / MEASURED_TIME.as_secs_f64();
     println!("{size:>7} {:>11.1} {cpu:>6.2}", after.memory_mib);
 }
 
-/// Writes the rows of all members but the daemon's own.
-async fn fill(platform: &PlatformStandin, size: usize) {
+/// Writes the rows of all members apart from the daemon's own.
+async fn write_members(platform: &PlatformStandin, size: usize) {
     let client = open_store(platform.address());
     let rows: Vec<TableWrite> = (1..size)
         .map(|index| {
             let mut record = record(index);
-            // Nobody listens there.
+            // Nothing listens at this port.
             record.peer = SocketAddr::from(([127, 0, 0, 1], 9));
             TableWrite {
                 key: format!("fleet-member-{}", record.host),
@@ -69,7 +70,7 @@
             }
         })
         .collect();
-    for batch in rows.chunks(BATCH) {
+    for batch in rows.chunks(BATCH_ROWS) {
         let reply = client.commit(batch).await.expect("commit");
         assert!(reply.committed);
     }
--- a/benches/capacity/usage.rs
+++ b/benches/capacity/usage.rs
@@ -1,23 +1,23 @@
-//! What a process used, as the system accounts it.
+//! Processor time and memory of a process, from `/proc`.
 
 use std::fs;
 
-/// Clock ticks in a second, as Linux reports times.
+/// Clock ticks per second in `/proc`, as usual on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessUsage {
-    /// Processor time so far, in seconds.
+    /// Processor time since the process started, in seconds.
     pub cpu_s: f64,
-    /// Resident memory now, in MiB.
+    /// Resident memory, in MiB.
     pub memory_mib: f64,
 }
 
-/// Reads what a process used so far.
+/// Reads the usage of a process; zero for a process that has exited.
 pub fn read(id: u32) -> ProcessUsage {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    // The name may hold blanks; the fields after it are fixed.
+    // The process name may contain spaces; the fields after it have fixed positions.
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks =
