--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -188,9 +188,7 @@
                 let at = self.now + self.draw_hop_latency();
                 self.schedule(at, ModelEvent::ProbeReply { entry, target, load });
             }
-            ModelEvent::ProbeReply { entry, target, load } => {
-                self.record_load(entry, target, load.0)
-            }
+            ModelEvent::ProbeReply { entry, target, load } => self.set_load(entry, target, load.0),
             ModelEvent::GuardTick { target } => {
                 self.step_queue(target, AdmissionEvent::Tick);
                 if self.now < self.end || !self.calls.is_empty() {
@@ -313,7 +311,7 @@
         self.schedule(at, ModelEvent::AtEntry { attempt, end });
     }
 
-    pub(super) fn record_load(&mut self, entry: usize, target: usize, load: LoadReport) {
+    pub(super) fn set_load(&mut self, entry: usize, target: usize, load: LoadReport) {
         let now = self.now;
         if let Some(record) = self.entries[entry].service.find(&target_name(target)) {
             record.record_report(now, load);
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -179,8 +179,20 @@
     let reset = tokio::select! {
         () = async {
             tokio::join!(
-                copy_stream(&mut client_read, &mut server_write, &state, LinkDirection::Inbound, silences_at_open),
-                copy_stream(&mut server_read, &mut client_write, &state, LinkDirection::Outbound, silences_at_open),
+                copy_stream(
+                    &mut client_read,
+                    &mut server_write,
+                    &state,
+                    LinkDirection::Inbound,
+                    silences_at_open,
+                ),
+                copy_stream(
+                    &mut server_read,
+                    &mut client_write,
+                    &state,
+                    LinkDirection::Outbound,
+                    silences_at_open,
+                ),
             );
         } => false,
         _ = resets.changed() => true,
