--- a/benches/policies/guards.rs
+++ b/benches/policies/guards.rs
@@ -66,7 +66,7 @@
         } else {
             0.4 * mean + exponential(&mut self.streams.service, 0.6 * mean)
         };
-        self.schedule(self.now + MicroTime(service_us as u64), ModelEvent::Done { attempt });
+        self.schedule(self.now + MicroTime(service_us as u64), ModelEvent::ServiceEnd { attempt });
     }
 
     /// Starts a second attempt if the first one is still open and the hedge budget allows
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Ends the service of an attempt and sends the answer.
-    pub(super) fn done(&mut self, attempt: u64) {
+    /// Ends the service of an attempt at its target and sends the answer.
+    pub(super) fn end_service(&mut self, attempt: u64) {
         let Some(&ModelAttempt { target, started: Some(started), .. }) =
             self.attempts.get(&attempt)
         else {
--- a/benches/policies/model.rs
+++ b/benches/policies/model.rs
@@ -54,10 +54,10 @@
 pub struct ModelResult {
     /// Latencies in microseconds; a call not served in time counts with its full deadline.
     pub latencies: Histogram<u64>,
-    /// Urgent calls: worth served in time, and worth offered.
-    pub urgent: (u64, u64),
-    /// Ordinary calls: worth served in time, and worth offered.
-    pub ordinary: (u64, u64),
+    /// Urgent calls: total worth served in time, and offered.
+    pub urgent_worth: (u64, u64),
+    /// Ordinary calls: total worth served in time, and offered.
+    pub ordinary_worth: (u64, u64),
     pub calls: u64,
     /// Calls whose last attempt was refused.
     pub refused: u64,
@@ -89,7 +89,7 @@
     pub fn run(plan: ModelPlan) -> ModelResult {
         let scenario = plan.scenario;
         let mut model = Self::open(plan);
-        model.schedule(MicroTime(0), ModelEvent::Call);
+        model.schedule(MicroTime(0), ModelEvent::CallArrival);
         for target in 0..model.targets.len() {
             model.schedule(MicroTime(GUARD_TICK_US), ModelEvent::GuardTick { target });
             if let Disturbance::Bursts { .. } = scenario.disturbance {
@@ -121,7 +121,7 @@
                 ModelTarget {
                     queue: AdmissionQueue::open(scenario.slots),
                     slots: if has_wrong_slots { scenario.slots / 2 } else { scenario.slots },
-                    host_factor: if index % 2 == 0 { 1.0 } else { scenario.old_factor },
+                    host_factor: if index % 2 == 0 { 1.0 } else { scenario.old_host_factor },
                     burst_factor: 1.0,
                     failing: false,
                     running: 0,
@@ -152,8 +152,8 @@
             attempts: HashMap::new(),
             result: ModelResult {
                 latencies: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds"),
-                urgent: (0, 0),
-                ordinary: (0, 0),
+                urgent_worth: (0, 0),
+                ordinary_worth: (0, 0),
                 calls: 0,
                 refused: 0,
                 retried: 0,
@@ -177,9 +177,9 @@
 
     pub(super) fn handle(&mut self, event: ModelEvent) {
         match event {
-            ModelEvent::Call => self.new_call(),
+            ModelEvent::CallArrival => self.new_call(),
             ModelEvent::AtGuard { attempt } => self.at_guard(attempt),
-            ModelEvent::Done { attempt } => self.done(attempt),
+            ModelEvent::ServiceEnd { attempt } => self.end_service(attempt),
             ModelEvent::AtEntry { attempt, end } => self.at_entry(attempt, &end),
             ModelEvent::Hedge { call, attempt } => self.hedge(call, attempt),
             ModelEvent::Cancel { attempt } => self.cancel(attempt),
@@ -215,13 +215,13 @@
             return;
         }
         let mut gap = 1.0 / arrival_rate_per_us(&self.plan.scenario);
-        if let Disturbance::Overload(load) = self.plan.scenario.disturbance
+        if let Disturbance::Overload(overload_percent) = self.plan.scenario.disturbance
             && self.third() == 1
         {
-            gap *= f64::from(self.plan.scenario.load) / f64::from(load);
+            gap *= f64::from(self.plan.scenario.load) / f64::from(overload_percent);
         }
         let gap = exponential(&mut self.streams.calls, gap) as u64;
-        self.schedule(self.now + MicroTime(gap), ModelEvent::Call);
+        self.schedule(self.now + MicroTime(gap), ModelEvent::CallArrival);
 
         let urgent = self.streams.calls.random_range(0..100) < URGENT_PERCENT;
         let worth = if urgent { URGENT_WORTH } else { ORDINARY_WORTH };
@@ -250,7 +250,7 @@
     }
 
     const fn worth_totals(&mut self, urgent: bool) -> &mut (u64, u64) {
-        if urgent { &mut self.result.urgent } else { &mut self.result.ordinary }
+        if urgent { &mut self.result.urgent_worth } else { &mut self.result.ordinary_worth }
     }
 
     pub(super) fn try_call(&mut self, id: u64) {
--- a/benches/policies/parts.rs
+++ b/benches/policies/parts.rs
@@ -12,9 +12,9 @@
 /// An event in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ModelEvent {
-    Call,
+    CallArrival,
     AtGuard { attempt: u64 },
-    Done { attempt: u64 },
+    ServiceEnd { attempt: u64 },
     AtEntry { attempt: u64, end: AttemptEnd },
     Hedge { call: u64, attempt: u64 },
     Cancel { attempt: u64 },
@@ -27,8 +27,8 @@
     DisturbanceEnd,
 }
 
-/// A load report in an event. All reports compare as equal, so that they have no
-/// influence on the order of events.
+/// A load report in an event. In their ordering all reports are equal, so that they have
+/// no influence on the order of events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct OrderedLoad(pub(super) LoadReport);
 
@@ -91,7 +91,9 @@
     pub(super) host_factor: f64,
     /// Factor on service times due to a burst or a cold start.
     pub(super) burst_factor: f64,
+    /// Whether it quickly responds with errors.
     pub(super) failing: bool,
+    /// True slots in use.
     pub(super) running: u16,
     /// Attempts that the guard has started but that wait for one of the true slots.
     pub(super) backlog: Vec<u64>,
@@ -129,7 +131,7 @@
 /// Returns the arrival rate of the scenario's load, in calls per microsecond.
 pub(super) fn arrival_rate_per_us(scenario: &Scenario) -> f64 {
     let speed =
-        |index: usize| if index.is_multiple_of(2) { 1.0 } else { 1.0 / scenario.old_factor };
+        |index: usize| if index.is_multiple_of(2) { 1.0 } else { 1.0 / scenario.old_host_factor };
     let speeds: f64 = (0..scenario.targets).map(speed).sum();
     let capacity = speeds * f64::from(scenario.slots) / scenario.service_us;
     capacity * f64::from(scenario.load) / 100.0
--- a/benches/policies/scenarios.rs
+++ b/benches/policies/scenarios.rs
@@ -38,7 +38,7 @@
     /// Mean service time on a new host, in microseconds.
     pub service_us: f64,
     /// Every second host is old; factor on its service times.
-    pub old_factor: f64,
+    pub old_host_factor: f64,
     /// Load in percent of the capacity of all slots.
     pub load: u32,
     /// Disturbance during the run.
@@ -55,7 +55,7 @@
     slots: 12,
     entries: 13,
     service_us: 8_000.0,
-    old_factor: 2.0,
+    old_host_factor: 2.0,
     load: 70,
     disturbance: Disturbance::None,
     hop_us: 700,
--- a/standins/src/hosted.rs
+++ b/standins/src/hosted.rs
@@ -24,7 +24,7 @@
     pub request_line: String,
     /// Headers by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
     /// Time of arrival.
     pub received_at: Instant,
@@ -133,8 +133,9 @@
         });
     }
 
-    /// Stops without notice: sends no heartbeat and no response any more, and serves
-    /// no new connection.
+    /// Stops without notice: closes all connections, and sends no heartbeat and no
+    /// response any more. The port stays open; a new connection is closed at its first
+    /// request.
     pub fn crash(&self) {
         self.state.crash();
     }
