--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -171,7 +171,8 @@
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut fleet = start_fleet(user)?;
     runtime.block_on(publish(user, fleet.platform.address))?;
-    let places: Vec<DaemonEndpoints> = fleet.daemons.iter().map(|daemon| *daemon.place()).collect();
+    let places: Vec<DaemonEndpoints> =
+        fleet.daemons.iter().map(|daemon| *daemon.endpoints()).collect();
     runtime.block_on(wait_ready(user, &places))?;
     let (reports, posted) = runtime.block_on(make_calls(options, user, &places, &mut fleet))?;
     let runs = runtime.block_on(read_runs(&fleet))?;
@@ -205,7 +206,7 @@
             &[
                 service.name.to_owned(),
                 format!("{}-{number}", service.name),
-                daemon.place().admin.to_string(),
+                daemon.endpoints().admin.to_string(),
                 user.slots.to_string(),
                 service_us.to_string(),
                 index.to_string(),
--- a/tests/common/hosted.rs
+++ b/tests/common/hosted.rs
@@ -55,7 +55,7 @@
             let daemon = fleet.start_daemon(index);
             let name = format!("i-{index}");
             let target = HostedTarget::spawn(SERVICE, &name, service_time).expect("target");
-            target.send_heartbeats_to(daemon.place().control.expect("control"));
+            target.send_heartbeats_to(daemon.endpoints().control.expect("control"));
             fleet.daemons.push(daemon);
             fleet.targets.push(target);
         }
@@ -121,18 +121,18 @@
 
     /// Returns the address to which a daemon's target reports.
     pub fn control(&self, index: usize) -> SocketAddr {
-        self.daemons[index].place().control.expect("control")
+        self.daemons[index].endpoints().control.expect("control")
     }
 
     /// Returns the status of a daemon's readiness check, or 0 if it can't be reached.
     pub fn readiness_status(&self, index: usize) -> u16 {
-        let address = self.daemons[index].place().ready.expect("ready");
+        let address = self.daemons[index].endpoints().ready.expect("ready");
         hosted_call(address, "GET", "/readiness", &[], b"").map_or(0, |answer| answer.status)
     }
 
     /// Returns a daemon's state page, or null if it can't be read.
     pub fn state(&self, index: usize) -> Value {
-        let admin = self.daemons[index].place().admin;
+        let admin = self.daemons[index].endpoints().admin;
         let page = hosted_call(admin, "GET", "/state", &[], b"");
         page.ok().and_then(|page| serde_json::from_slice(&page.body).ok()).unwrap_or_default()
     }
@@ -172,7 +172,7 @@
             ("X-Target-Instance", "forged"),
         ];
         let body: &[u8] = if prefix == SAFE_PREFIX { b"" } else { b"some bytes" };
-        let caller = self.daemons[index].place().caller;
+        let caller = self.daemons[index].endpoints().caller;
         hosted_call(caller, method, &format!("{prefix}{id}"), &headers, body).ok()
     }
 
@@ -235,7 +235,7 @@
                     *since = None;
                 } else if since.get_or_insert_with(Instant::now).elapsed() >= RESTART_DELAY {
                     let name = format!("i-{}", started.len());
-                    let target = HostedTarget::spawn(SERVICE, &name, started[0].1.work());
+                    let target = HostedTarget::spawn(SERVICE, &name, started[0].1.service_time());
                     let target = target.expect("target");
                     target.crash_on_path(CRASHING_PATH);
                     target.restart(started.len() as u64);
@@ -251,15 +251,15 @@
     /// id; `None` if it got no complete answer.
     pub fn send_crashing_request(&self, host: usize, id: &str) -> Option<HostedResponse> {
         let headers = [("Host", VIRTUAL_HOST), ("X-Request-Id", id), ("X-Deadline-Ms", "2000")];
-        hosted_call(self.daemons[host].place().caller, "GET", CRASHING_PATH, &headers, b"").ok()
+        hosted_call(self.daemons[host].endpoints().caller, "GET", CRASHING_PATH, &headers, b"").ok()
     }
 
     /// Returns the times at which copies of the crashing request began to run, sorted.
     pub fn crashing_run_times(&self) -> Vec<Instant> {
         let started = self.started_targets.lock().expect("started targets");
         let runs = started.iter().flat_map(|(_, target)| target.runs());
-        let crashing_runs = runs.filter(|run| run.line.contains(CRASHING_PATH));
-        let mut times: Vec<Instant> = crashing_runs.map(|run| run.at).collect();
+        let crashing_runs = runs.filter(|run| run.request_line.contains(CRASHING_PATH));
+        let mut times: Vec<Instant> = crashing_runs.map(|run| run.received_at).collect();
         times.sort_unstable();
         times
     }
@@ -272,7 +272,7 @@
     /// Kills all daemons and starts them again at the same addresses.
     pub fn restart_daemons(&mut self) {
         let places: Vec<DaemonEndpoints> =
-            self.daemons.iter().map(|daemon| *daemon.place()).collect();
+            self.daemons.iter().map(|daemon| *daemon.endpoints()).collect();
         self.fleet.daemons.clear();
         for (index, place) in places.iter().enumerate() {
             let daemon = self.fleet.start_daemon_at(index, place);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -87,7 +87,7 @@
             service: self.plan.service.to_owned(),
             name: format!("target-{index}"),
             address: ephemeral_address(),
-            daemon: daemon.place().admin,
+            daemon: daemon.endpoints().admin,
             slots: self.plan.slots,
             service_us: self.plan.service_us,
             seed: index as u64,
@@ -122,7 +122,7 @@
 
     /// Returns the addresses at which a daemon listens.
     pub fn addresses(&self, index: usize) -> DaemonEndpoints {
-        *self.daemons[index].place()
+        *self.daemons[index].endpoints()
     }
 
     /// Waits until the entry of every daemon serves and knows every target.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -11,7 +11,7 @@
     fleet
         .daemons
         .iter()
-        .all(|daemon| fleet.serving_revision(daemon.place().admin) == Some(revision))
+        .all(|daemon| fleet.serving_revision(daemon.endpoints().admin) == Some(revision))
 }
 
 #[test]
@@ -71,11 +71,11 @@
     fleet.set_faults(|faults| faults.down = true);
     let unseeded = fleet.start_daemon(8, &[]);
     let seeded = fleet.start_daemon(9, &[fleet.addresses(0).peer, fleet.addresses(1).peer]);
-    let admin = seeded.place().admin;
+    let admin = seeded.endpoints().admin;
     eventually("the seeded daemon serves revision 2", || fleet.serving_revision(admin) == Some(2));
     // The daemon without seeds has no peer to ask and does not serve.
     let call = fleet.get_request("/r?size=10");
-    let report = fleet.runtime.block_on(fleet.client.call(unseeded.place().caller, &call));
+    let report = fleet.runtime.block_on(fleet.client.call(unseeded.endpoints().caller, &call));
     assert_eq!(report.verdict, Verdict::NotRun, "{report:?}");
     fleet.daemons.push(seeded);
     fleet.wait_for_targets(2, 2);
@@ -88,7 +88,7 @@
     let fleet = TestFleet::spawn(FleetPlan { hosts: 2, ..FleetPlan::default() });
     fleet.set_faults(|faults| faults.objects_missing = true);
     let new_daemon = fleet.start_daemon(9, &[]);
-    let admin = new_daemon.place().admin;
+    let admin = new_daemon.endpoints().admin;
     eventually("the new daemon serves", || fleet.serving_revision(admin) == Some(1));
 }
 
@@ -107,7 +107,7 @@
     let mut highest = 0;
     eventually("in force everywhere", || {
         for daemon in &fleet.daemons {
-            let revision = fleet.serving_revision(daemon.place().admin).unwrap_or(highest);
+            let revision = fleet.serving_revision(daemon.endpoints().admin).unwrap_or(highest);
             assert!(revision >= 1);
         }
         let revision = fleet.serving_revision(fleet.addresses(2).admin).unwrap_or(0);
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -144,7 +144,7 @@
         fleet.call(1, SAFE_PREFIX, "other").is_some_and(|answer| answer.status == 200)
     });
 
-    let admin = fleet.daemons[2].place().admin.to_string();
+    let admin = fleet.daemons[2].endpoints().admin.to_string();
     let railspan = |arguments: &[&str]| {
         let command = std::process::Command::new(env!("CARGO_BIN_EXE_railspan"))
             .args(arguments)
--- a/tests/hosted_accounts.rs
+++ b/tests/hosted_accounts.rs
@@ -52,7 +52,7 @@
         ("X-Tenant-Id", "x"),
     ];
     headers.extend(bearer.as_deref().map(|bearer| ("Authorization", bearer)));
-    let caller = fleet.daemons[index].place().caller;
+    let caller = fleet.daemons[index].endpoints().caller;
     hosted_call(caller, "GET", &format!("{path}{id}"), &headers, b"").expect("answer")
 }
 
--- a/tests/hosted_calls.rs
+++ b/tests/hosted_calls.rs
@@ -27,7 +27,11 @@
         assert_eq!(answer.headers["x-request-id"], id);
         let runs: Vec<_> = fleet.targets.iter().flat_map(HostedTarget::runs).collect();
         let run = runs.iter().find(|run| run.headers["x-request-id"] == id).expect("run");
-        assert!(run.line.ends_with(&format!("{prefix}{id} HTTP/1.1")), "{}", run.line);
+        assert!(
+            run.request_line.ends_with(&format!("{prefix}{id} HTTP/1.1")),
+            "{}",
+            run.request_line
+        );
         assert_eq!(run.headers["host"], common::hosted::VIRTUAL_HOST);
         assert_eq!(run.headers["x-caller-service"], SERVICE);
         assert!(run.headers["x-target-instance"].starts_with("i-"));
@@ -37,7 +41,7 @@
 }
 
 #[test_case(&HostedBehaviour::LoseResponse; "lost")]
-#[test_case(&HostedBehaviour::Foreign; "with another request id")]
+#[test_case(&HostedBehaviour::ForeignRequestId; "with another request id")]
 #[test_case(&HostedBehaviour::Unsigned; "without its signature")]
 #[test_case(&HostedBehaviour::Truncate; "truncated")]
 fn an_invalid_answer_is_not_delivered_and_its_write_runs_once(mood: &HostedBehaviour) {
@@ -78,7 +82,7 @@
 #[test]
 fn an_unexpected_second_answer_on_a_connection_is_delivered_to_no_caller() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    fleet.targets[0].set_behaviour(HostedBehaviour::Twice);
+    fleet.targets[0].set_behaviour(HostedBehaviour::DuplicateResponse);
     for number in 0..10 {
         let id = format!("twice{number}");
         let answer = fleet.call(0, SAFE_PREFIX, &id).expect("answer");
@@ -91,7 +95,7 @@
 #[test]
 fn an_error_answer_of_a_target_is_delivered_unchanged() {
     let fleet = HostedFleet::spawn(1, SERVICE_TIME);
-    fleet.targets[0].set_behaviour(HostedBehaviour::Fail);
+    fleet.targets[0].set_behaviour(HostedBehaviour::ServerError);
     let answer = fleet.call(0, UNSAFE_PREFIX, "failed").expect("answer");
     assert_eq!((answer.status, answer.headers["x-server-signature"].as_str()), (500, "3e1b.07"));
 }
--- a/tests/hosted_life.rs
+++ b/tests/hosted_life.rs
@@ -98,7 +98,7 @@
 fn a_daemon_that_restarts_while_the_store_is_down_serves() {
     let mut fleet = HostedFleet::spawn(3, SERVICE_TIME);
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
-    let place = *fleet.daemons[2].place();
+    let place = *fleet.daemons[2].endpoints();
     fleet.daemons[2].kill().expect("kill");
     fleet.daemons[2] = fleet.start_daemon_at(2, &place);
     eventually("the restarted daemon serves", || fleet.readiness_status(2) == 200);
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -136,7 +136,7 @@
             })),
         };
         let daemon = DaemonProcess::spawn(&spec).expect("daemon");
-        let place = *daemon.place();
+        let place = *daemon.endpoints();
         links.guard.set_upstream(place.guard);
         links.peer.set_upstream(place.peer);
         self.report(&target, &links.target, &place);
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -195,12 +195,12 @@
 fn draw_mood(rng: &mut Pcg64Mcg) -> HostedBehaviour {
     let moods = [
         HostedBehaviour::LoseResponse,
-        HostedBehaviour::Foreign,
+        HostedBehaviour::ForeignRequestId,
         HostedBehaviour::Unsigned,
         HostedBehaviour::Decline,
         HostedBehaviour::Truncate,
-        HostedBehaviour::Twice,
-        HostedBehaviour::Fail,
+        HostedBehaviour::DuplicateResponse,
+        HostedBehaviour::ServerError,
     ];
     moods[rng.random_range(0..moods.len())].clone()
 }
