--- a/src/base/counted_socket.rs
+++ b/src/base/counted_socket.rs
@@ -12,18 +12,18 @@
 #[derive(Debug)]
 pub(crate) struct CountedSocket {
     socket: TcpStream,
-    bytes: Option<IntCounter>,
+    byte_counter: Option<IntCounter>,
 }
 
 impl CountedSocket {
-    /// Wraps a connection; its bytes are added to `bytes`, if given.
-    pub(crate) fn open(socket: TcpStream, bytes: Option<IntCounter>) -> Self {
-        Self { socket, bytes }
+    /// Wraps a connection; its bytes are added to `byte_counter`, if given.
+    pub(crate) fn open(socket: TcpStream, byte_counter: Option<IntCounter>) -> Self {
+        Self { socket, byte_counter }
     }
 
     fn count(&self, length: usize) {
-        if let Some(bytes) = &self.bytes {
-            bytes.inc_by(length as u64);
+        if let Some(byte_counter) = &self.byte_counter {
+            byte_counter.inc_by(length as u64);
         }
     }
 }
--- a/src/command/operator.rs
+++ b/src/command/operator.rs
@@ -224,18 +224,22 @@
     request_json(Method::GET, daemon, "/state").await
 }
 
-/// Starts (`on`) or ends the drain of a target and returns its host.
+/// Starts (`drained`) or ends the drain of a target and returns its host.
 ///
 /// # Errors
 ///
 /// Returns an error if no daemon has the target, or its daemon can't be reached.
-pub async fn drain(daemon: SocketAddr, target: &str, on: bool) -> Result<HostName, OperatorError> {
+pub async fn drain(
+    daemon: SocketAddr,
+    target: &str,
+    drained: bool,
+) -> Result<HostName, OperatorError> {
     let view = read_members(daemon).await?;
     let has =
         |advertised: &crate::base::member::AdvertisedTarget| advertised.name.as_str() == target;
     let member = view.serving().find(|member| member.targets.iter().any(has));
     let member = member.ok_or_else(|| OperatorError::NoTarget { target: target.to_owned() })?;
-    let path = format!("/drain?target={target}&on={on}");
+    let path = format!("/drain?target={target}&on={drained}");
     request_json(Method::POST, member.admin, &path).await?;
     Ok(member.host.clone())
 }
--- a/src/decide/benefit.rs
+++ b/src/decide/benefit.rs
@@ -96,10 +96,10 @@
     let lateness = expected / estimate.objective_us.max(1.0);
     let in_time = 1.0 / (1.0 + lateness.powi(STEEPNESS));
     let success = 1.0 - f64::from(record.load.failure_permille) / 1_000.0;
-    let crossing = if record.remote { estimate.crossing_cost } else { 0.0 };
+    let crossing_cost = if record.remote { estimate.crossing_cost } else { 0.0 };
     in_time * success
         - LATENCY_WEIGHT * lateness.min(MAX_LATENESS)
-        - crossing
+        - crossing_cost
         - contention_cost(record)
 }
 
