--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -1,82 +1,86 @@
-//! Whether the promises were kept, from what clients sent and targets saw.
+//! Checks the guarantees of a run against what clients and targets recorded.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use railspan_standins::HostedRun;
 
-use super::caller::{RequestEnd, RequestKind, RequestNote};
-use super::fleet::{DrainNote, MAX_ATTEMPTS, RETRY_RATIO, RETRY_SLACK, SoakFleet};
+use super::client::{RequestKind, RequestOutcome, RequestRecord};
+use super::fleet::{DrainRecord, MAX_ATTEMPTS, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK, SoakFleet};
 use super::host::lock;
-use super::{deadly, places};
+use super::{capacity_events, crash_requests};
 
-/// Statuses that say that a request did not run and never will.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Statuses which promise that the request did not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Time after a drain was acknowledged in which requests may still arrive.
-const DRAIN_BOUND: Duration = Duration::from_secs(1);
+/// Time after the acknowledgement of a drain in which requests may still arrive.
+const DRAIN_DELIVERY_LIMIT: Duration = Duration::from_secs(1);
 
-/// Time after a client left in which its request may still arrive.
-const LEFT_BOUND: Duration = Duration::from_secs(2);
+/// Time after a client abandoned its request in which the request may still arrive.
+const ABANDONED_DELIVERY_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time over the client's own that a target may be given.
+/// Time by which the deadline passed to a target may exceed that of the client.
 const DEADLINE_SLACK: Duration = Duration::from_millis(500);
 
-/// Part of its time after which a request may end without its target's answer.
-const USED_UP: f64 = 0.7;
+/// Share of its deadline after which a request may end without the answer of a target.
+const DEADLINE_USED_SHARE: f64 = 0.7;
 
-/// Window over which further tries are counted.
-const BUDGET_WINDOW: Duration = Duration::from_secs(10);
+/// Window over which further attempts are counted.
+const RETRY_BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 /// A request that reached a target.
 pub struct Arrival {
     pub target: String,
     service: String,
-    /// The place of its guard's host.
+    /// Index of the host of its guard.
     pub host: usize,
     pub run: HostedRun,
 }
 
-/// Judges a run; returns what broke, a line each.
-pub fn judge(fleet: &SoakFleet, notes: &[RequestNote], calm: bool) -> Vec<String> {
+/// Checks a run; returns one line per violation.
+pub fn check_run(fleet: &SoakFleet, records: &[RequestRecord], planned_only: bool) -> Vec<String> {
     let mut findings = std::mem::take(&mut *lock(&fleet.findings));
-    let arrivals = arrivals(fleet);
+    let arrivals = collect_arrivals(fleet);
     let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
     for arrival in &arrivals {
         let id = header(&arrival.run, "x-request-id");
         by_id.entry(id).or_default().push(arrival);
     }
-    let known: HashSet<&str> = notes.iter().map(|note| &*note.id).collect();
-    for id in by_id.keys().filter(|id| !known.contains(**id) && **id != "recovery") {
-        findings.push(format!("{id}: ran, and nobody sent it"));
-    }
-    for note in notes {
-        let runs = by_id.get(&*note.id).map_or(&[][..], Vec::as_slice);
-        let mut faults = Vec::new();
-        judge_answer(note, runs, &mut faults);
-        judge_runs(fleet, note, runs, &mut faults);
-        if calm {
-            judge_calm(note, runs, &mut faults);
+    let sent_ids: HashSet<&str> = records.iter().map(|record| &*record.id).collect();
+    for id in by_id.keys().filter(|id| !sent_ids.contains(**id) && **id != "recovery") {
+        findings.push(format!("{id}: ran, but no client sent it"));
+    }
+    for record in records {
+        let request_arrivals = by_id.get(&*record.id).map_or(&[][..], Vec::as_slice);
+        let mut violations = Vec::new();
+        check_answer(record, request_arrivals, &mut violations);
+        check_arrivals(fleet, record, request_arrivals, &mut violations);
+        if planned_only {
+            check_planned_only(record, request_arrivals, &mut violations);
         }
-        findings.extend(faults.iter().map(|fault| format!("{} ({}): {fault}", note.id, note.line)));
+        findings.extend(
+            violations
+                .iter()
+                .map(|violation| format!("{} ({}): {violation}", record.id, record.request_line)),
+        );
     }
-    judge_drains(&lock(&fleet.drains), &arrivals, &mut findings);
-    places::judge(fleet, &arrivals, &mut findings);
-    deadly::judge(fleet, &arrivals, &mut findings);
-    judge_versions(notes, &mut findings);
-    judge_budget(notes, &by_id, &mut findings);
+    check_drains(&lock(&fleet.drains), &arrivals, &mut findings);
+    capacity_events::check_arrivals(fleet, &arrivals, &mut findings);
+    crash_requests::check_arrivals(fleet, &arrivals, &mut findings);
+    check_config_versions(records, &mut findings);
+    check_retry_budget(records, &by_id, &mut findings);
     findings
 }
 
-fn arrivals(fleet: &SoakFleet) -> Vec<Arrival> {
+fn collect_arrivals(fleet: &SoakFleet) -> Vec<Arrival> {
     let targets = lock(&fleet.targets);
     let mut arrivals = Vec::new();
-    for ran in targets.iter() {
-        let target = &ran.target;
+    for soak_target in targets.iter() {
+        let target = &soak_target.target;
         arrivals.extend(target.runs().into_iter().map(|run| Arrival {
             target: target.name().to_owned(),
             service: target.service().to_owned(),
-            host: fleet.host_of(ran),
+            host: fleet.host_index(soak_target),
             run,
         }));
     }
@@ -87,156 +91,189 @@
     run.headers.get(name).map_or("", String::as_str)
 }
 
-fn judge_answer(note: &RequestNote, runs: &[&Arrival], faults: &mut Vec<String>) {
-    if matches!(note.end, RequestEnd::Silent) {
-        faults.push("no final answer long after its deadline".to_owned());
+fn check_answer(record: &RequestRecord, arrivals: &[&Arrival], violations: &mut Vec<String>) {
+    if matches!(record.outcome, RequestOutcome::TimedOut) {
+        violations.push("no final answer long after the deadline".to_owned());
     }
-    let RequestEnd::Answered { status, headers, body } = &note.end else { return };
-    let expected = format!("body of {}", note.id);
+    let RequestOutcome::Answered { status, headers, body } = &record.outcome else { return };
+    let expected = format!("body of {}", record.id);
     let signed = headers.contains_key("x-server-signature");
-    let own = headers.get("x-request-id").is_some_and(|id| *id == note.id);
-    if *status < 300 && !(signed && own && *body == expected.as_bytes()) {
-        faults.push(format!("{status} that is not its target's whole answer"));
+    let has_own_id = headers.get("x-request-id").is_some_and(|id| *id == record.id);
+    if *status < 300 && !(signed && has_own_id && *body == expected.as_bytes()) {
+        violations.push(format!("answer with {status} is not the whole answer of its target"));
     }
-    if *status < 300 && runs.is_empty() {
-        faults.push(format!("{status}, and no target ran it"));
+    if *status < 300 && arrivals.is_empty() {
+        violations.push(format!("answered with {status}, but no target ran it"));
     }
     if signed && !matches!(*status, 200 | 500) {
-        faults.push(format!("signed {status} that no target gave"));
+        violations.push(format!("signed answer with {status}, which no target sends"));
     }
-    if NOT_RUN.contains(status) && !runs.is_empty() {
-        faults.push(format!("{status} says not run, but it ran {} times", runs.len()));
+    if NOT_RUN_STATUSES.contains(status) && !arrivals.is_empty() {
+        violations
+            .push(format!("answered with {status} (not run), but it ran {} times", arrivals.len()));
     }
-    // Of a request that ends targets, coming back does not help; all others are told when.
-    let comes_back = note.kind != RequestKind::Deadly;
-    if comes_back && matches!(*status, 429 | 503) && !headers.contains_key("retry-after") {
-        faults.push(format!("{status} without a time to come back"));
+    // Retrying a request that crashes targets does not help; every other refusal must say
+    // when to retry.
+    let retry_helps = record.kind != RequestKind::Crash;
+    if retry_helps && matches!(*status, 429 | 503) && !headers.contains_key("retry-after") {
+        violations.push(format!("answered with {status} without `retry-after`"));
     }
-    let versioned = matches!(note.kind, RequestKind::Versioned(_));
-    let denied = (300..500).contains(status) && !NOT_RUN.contains(status);
-    if denied && !(versioned && *status == 404) {
-        faults.push(format!("a proper request was denied with {status}"));
+    let versioned = matches!(record.kind, RequestKind::Versioned(_));
+    let refused = (300..500).contains(status) && !NOT_RUN_STATUSES.contains(status);
+    if refused && !(versioned && *status == 404) {
+        violations.push(format!("a valid request was refused with {status}"));
     }
 }
 
-fn judge_runs(fleet: &SoakFleet, note: &RequestNote, runs: &[&Arrival], faults: &mut Vec<String>) {
-    if note.kind == RequestKind::Unsafe && runs.len() > 1 {
-        faults.push(format!("ran {} times", runs.len()));
+fn check_arrivals(
+    fleet: &SoakFleet,
+    record: &RequestRecord,
+    arrivals: &[&Arrival],
+    violations: &mut Vec<String>,
+) {
+    if record.kind == RequestKind::Unsafe && arrivals.len() > 1 {
+        violations.push(format!("unsafe request ran {} times", arrivals.len()));
     }
-    let targets: HashSet<&str> = runs.iter().map(|arrival| &*arrival.target).collect();
+    let targets: HashSet<&str> = arrivals.iter().map(|arrival| &*arrival.target).collect();
     if targets.len() > MAX_ATTEMPTS {
-        faults.push(format!("reached {} targets", targets.len()));
+        violations.push(format!("reached {} targets", targets.len()));
     }
-    for arrival in runs {
+    for arrival in arrivals {
         let run = &arrival.run;
-        if run.line != note.line || run.body != note.body {
-            faults.push(format!("arrived changed: {}", run.line));
+        if run.line != record.request_line || run.body != record.body {
+            violations.push(format!("arrived modified: {}", run.line));
         }
-        if arrival.service != note.service {
-            faults.push(format!("ran at a target of {}", arrival.service));
+        if arrival.service != record.service {
+            violations.push(format!("ran at a target of service {}", arrival.service));
         }
-        if header(run, "x-caller-service") != fleet.hosts[note.host].service {
-            faults.push(format!("said to come from {}", header(run, "x-caller-service")));
+        if header(run, "x-caller-service") != fleet.hosts[record.host].service {
+            violations
+                .push(format!("arrived with caller service {}", header(run, "x-caller-service")));
         }
         if header(run, "x-target-instance") != arrival.target {
-            faults.push(format!("meant for {}", header(run, "x-target-instance")));
+            violations
+                .push(format!("arrived with target instance {}", header(run, "x-target-instance")));
         }
-        // What a daemon that stood still was sent, it can't know the age of.
-        let frozen = fleet.hosts[note.host].was_frozen(note.sent, run.at);
-        let left = header(run, "x-deadline-ms").parse().map(Duration::from_millis);
-        // A guard that stood still after it had reckoned the time wrote it late: then
-        // the time counts from the moment at which it stopped.
-        let reckoned = fleet.hosts[arrival.host].first_freeze(note.sent, run.at);
-        let end = left.clone().map(|left| reckoned.unwrap_or(run.at) + left);
-        let last = note.sent + note.deadline + DEADLINE_SLACK;
-        if end.is_err() || end.is_ok_and(|end| end > last && !frozen) {
-            let late = run.at.saturating_duration_since(note.sent);
-            let told =
-                format!("{left:?} left, read {late:?} after it was sent, of {:?}", note.deadline);
-            faults.push(format!("a target got more time than is left: {told}"));
+        // A daemon that was suspended can't know how long a request waited to be read.
+        let was_suspended = fleet.hosts[record.host].was_frozen(record.sent, run.at);
+        let remaining = header(run, "x-deadline-ms").parse().map(Duration::from_millis);
+        // A guard that was suspended after it had computed the remaining time sent it late;
+        // the remaining time then counts from the start of the suspension.
+        let suspended_at = fleet.hosts[arrival.host].first_freeze(record.sent, run.at);
+        let end = remaining.clone().map(|remaining| suspended_at.unwrap_or(run.at) + remaining);
+        let last = record.sent + record.deadline + DEADLINE_SLACK;
+        if end.is_err() || end.is_ok_and(|end| end > last && !was_suspended) {
+            let late = run.at.saturating_duration_since(record.sent);
+            let detail = format!(
+                "{remaining:?} remaining, {late:?} after the request was sent, of {:?}",
+                record.deadline
+            );
+            violations.push(format!(
+                "the target got an invalid deadline or one past that of the client: {detail}"
+            ));
         }
-        if matches!(note.end, RequestEnd::GaveUp) && run.at > note.ended + LEFT_BOUND {
-            faults.push("arrived long after its client left".to_owned());
+        if matches!(record.outcome, RequestOutcome::Abandoned)
+            && run.at > record.ended + ABANDONED_DELIVERY_LIMIT
+        {
+            violations.push("arrived long after its client abandoned it".to_owned());
         }
     }
 }
 
-/// Judges a request of a run that has planned work alone.
-fn judge_calm(note: &RequestNote, runs: &[&Arrival], faults: &mut Vec<String>) {
-    let used_up = note.ended - note.sent >= note.deadline.mul_f64(USED_UP);
-    match &note.end {
-        RequestEnd::Broken if !runs.is_empty() => {
-            faults.push("passed on, and its connection ended without an answer".to_owned());
+/// Checks a request of a run that has planned operations only: none may be lost.
+fn check_planned_only(record: &RequestRecord, arrivals: &[&Arrival], violations: &mut Vec<String>) {
+    let deadline_used = record.ended - record.sent >= record.deadline.mul_f64(DEADLINE_USED_SHARE);
+    match &record.outcome {
+        RequestOutcome::ConnectionLost if !arrivals.is_empty() => {
+            violations
+                .push("reached a target, but the connection ended without an answer".to_owned());
         }
-        RequestEnd::Answered { status: status @ (502 | 504), .. } if !used_up => {
-            faults.push(format!("{status} around planned work"));
+        RequestOutcome::Answered { status: status @ (502 | 504), .. } if !deadline_used => {
+            violations.push(format!("answered with {status} although all operations were planned"));
         }
         _ => {}
     }
 }
 
-fn judge_drains(drains: &[DrainNote], arrivals: &[Arrival], findings: &mut Vec<String>) {
+fn check_drains(drains: &[DrainRecord], arrivals: &[Arrival], findings: &mut Vec<String>) {
     for drain in drains {
         let late = |arrival: &&Arrival| {
-            arrival.target == drain.target && arrival.run.at > drain.acknowledged + DRAIN_BOUND
+            arrival.target == drain.target
+                && arrival.run.at > drain.acknowledged + DRAIN_DELIVERY_LIMIT
         };
         let late = arrivals.iter().filter(late).count();
         if late > 0 {
-            findings.push(format!("{}: {late} requests after its drain", drain.target));
+            findings.push(format!(
+                "{}: {late} requests arrived after its drain was acknowledged",
+                drain.target
+            ));
         }
     }
 }
 
-/// Checks that no daemon goes back to an older configuration in one life.
-fn judge_versions(notes: &[RequestNote], findings: &mut Vec<String>) {
-    let mut served: HashMap<(usize, u64), Vec<(Instant, u64)>> = HashMap::new();
-    for (note, version, status) in versioned(notes) {
-        if let Some(life) = note.life
+/// Checks that no daemon returns to an older configuration within one incarnation.
+fn check_config_versions(records: &[RequestRecord], findings: &mut Vec<String>) {
+    let mut served_versions: HashMap<(usize, u64), Vec<(Instant, u64)>> = HashMap::new();
+    for (record, version, status) in answered_versioned(records) {
+        if let Some(incarnation) = record.incarnation
             && status != 404
             && status != 503
         {
-            served.entry((note.host, life)).or_default().push((note.ended, version));
+            served_versions
+                .entry((record.host, incarnation))
+                .or_default()
+                .push((record.ended, version));
         }
     }
-    for (note, version, status) in versioned(notes) {
-        let Some(life) = note.life.filter(|_life| status == 404) else { continue };
-        let before = served.get(&(note.host, life)).into_iter().flatten();
-        if before.clone().any(|(at, known)| *at < note.sent && *known >= version) {
-            let (id, host) = (&note.id, note.host);
-            findings.push(format!("{id}: host-{host} forgot version {version}"));
+    for (record, version, status) in answered_versioned(records) {
+        let Some(incarnation) = record.incarnation.filter(|_incarnation| status == 404) else {
+            continue;
+        };
+        let earlier = served_versions.get(&(record.host, incarnation)).into_iter().flatten();
+        if earlier.clone().any(|(at, seen)| *at < record.sent && *seen >= version) {
+            let (id, host) = (&record.id, record.host);
+            findings.push(format!(
+                "{id}: host-{host} no longer serves configuration version {version}"
+            ));
         }
     }
 }
 
-fn versioned(notes: &[RequestNote]) -> impl Iterator<Item = (&RequestNote, u64, u16)> {
-    notes.iter().filter_map(|note| match (&note.kind, &note.end) {
-        (RequestKind::Versioned(version), RequestEnd::Answered { status, .. }) => {
-            Some((note, *version, *status))
+fn answered_versioned(
+    records: &[RequestRecord],
+) -> impl Iterator<Item = (&RequestRecord, u64, u16)> {
+    records.iter().filter_map(|record| match (&record.kind, &record.outcome) {
+        (RequestKind::Versioned(version), RequestOutcome::Answered { status, .. }) => {
+            Some((record, *version, *status))
         }
         _ => None,
     })
 }
 
-/// Checks that further tries stay within their share of the requests.
-fn judge_budget(
-    notes: &[RequestNote],
+/// Checks that the attempts after the first one of each request stay within the retry
+/// budget.
+fn check_retry_budget(
+    records: &[RequestRecord],
     by_id: &HashMap<&str, Vec<&Arrival>>,
     findings: &mut Vec<String>,
 ) {
-    let mut again: Vec<Instant> = Vec::new();
-    for runs in by_id.values() {
-        let mut times: Vec<Instant> = runs.iter().map(|arrival| arrival.run.at).collect();
+    let mut retries: Vec<Instant> = Vec::new();
+    for arrivals in by_id.values() {
+        let mut times: Vec<Instant> = arrivals.iter().map(|arrival| arrival.run.at).collect();
         times.sort_unstable();
-        again.extend(times.iter().skip(1));
-    }
-    again.sort_unstable();
-    for start in &again {
-        let inside = |at: &Instant| *at >= *start && *at < *start + BUDGET_WINDOW;
-        let tries = again.iter().filter(|at| inside(at)).count();
-        let requests = notes.iter().filter(|note| inside(&note.sent)).count();
-        let allowed = RETRY_RATIO * requests as f64 + RETRY_SLACK;
-        if tries as f64 > allowed {
-            findings.push(format!("{tries} further tries for {requests} requests in a window"));
+        retries.extend(times.iter().skip(1));
+    }
+    retries.sort_unstable();
+    for start in &retries {
+        let inside = |at: &Instant| *at >= *start && *at < *start + RETRY_BUDGET_WINDOW;
+        let retry_count = retries.iter().filter(|at| inside(at)).count();
+        let request_count = records.iter().filter(|record| inside(&record.sent)).count();
+        let allowed = RETRY_BUDGET_RATIO * request_count as f64 + RETRY_BUDGET_SLACK;
+        if retry_count as f64 > allowed {
+            findings.push(format!(
+                "{retry_count} further attempts for {request_count} requests within \
+                 {RETRY_BUDGET_WINDOW:?}"
+            ));
             return;
         }
     }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -1,5 +1,6 @@
-//! The programs of a run: daemons as processes, targets and the store beside
-//! them, and a faulty link before each address that others use.
+//! The processes of a run: daemons as child processes, targets and the store within the
+//! test process, and a fault-injecting link in front of each address that others connect
+//! to.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,89 +15,94 @@
 use serde_json::{Value, json};
 use tokio::runtime::Handle;
 
-use super::deadly::DEADLY;
-use super::host::{HostLinks, SoakHost, cut, freeze, lock, restart, serves};
-use super::places::{COLD_OVER, COLD_PER_S, COLD_SLACK, ColdNote, EvacuationNote, TargetTurn};
-use super::plan::{LinkKind, PlannedTrouble, SoakPlan, Trouble};
+use super::capacity_events::{
+    COLD_OVER, COLD_PER_S, COLD_SLACK, ColdPeriod, EvacuationPeriod, TargetEvent,
+};
+use super::crash_requests::CRASH_PATH;
+use super::host::{HostLinks, SoakHost, cut, freeze, lock, restart, serves_version};
+use super::plan::{Disruption, LinkKind, PlannedDisruption, SoakPlan};
 
-/// Services of the fleet; hosts take turns.
+/// Services of the fleet, assigned to the hosts in turn.
 pub const SERVICES: [&str; 2] = ["grillas", "avisos"];
 
-/// Targets that one request may reach, as the routes say.
+/// Number of targets that one request may reach, as configured in the routes.
 pub const MAX_ATTEMPTS: usize = 2;
 
-/// Further tries that all daemons may make: a share of the calls, and more.
-pub const RETRY_RATIO: f64 = 0.2;
-pub const RETRY_SLACK: f64 = 58.0;
+/// Retry budget of the whole fleet: a share of the calls, plus a fixed number.
+pub const RETRY_BUDGET_RATIO: f64 = 0.2;
+pub const RETRY_BUDGET_SLACK: f64 = 58.0;
 
-/// Time from a stop signal until the platform would kill.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time from the stop signal until the platform would kill the daemon.
+const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// Time a target stays after its drain was acknowledged: longer than requests may
-/// still arrive, so that a drain that is not acted upon shows.
-const DRAIN: Duration = Duration::from_millis(2_500);
+/// Time for which a target keeps running after its drain was acknowledged: longer than
+/// requests may still arrive, so that a drain that has no effect is noticed.
+const DRAIN_LINGER: Duration = Duration::from_millis(2_500);
 
-/// Time after which a target ends though nobody acknowledged its drain, and the
-/// time between two words of it.
-const DRAIN_LIMIT: Duration = Duration::from_secs(6);
-const DRAIN_EVERY: Duration = Duration::from_millis(100);
+/// Time after which a target ends although its drain was not acknowledged, and the time
+/// between two drain announcements.
+const DRAIN_ACK_TIMEOUT: Duration = Duration::from_secs(6);
+const DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Work of a target for one request, and while it is slow.
-const WORK: Duration = Duration::from_millis(8);
-const SLOW_WORK: Duration = Duration::from_millis(250);
+/// Time that a target takes for one request, usually and while it is slow.
+const WORK_TIME: Duration = Duration::from_millis(8);
+const SLOW_WORK_TIME: Duration = Duration::from_millis(250);
 
-/// Longest wait for a thing that must come to pass.
-const EVENTUALLY: Duration = Duration::from_secs(60);
+/// Time within which the fleet must recover.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A target that acknowledged that it drains, and when.
-pub struct DrainNote {
+/// A target whose drain was acknowledged, and when.
+pub struct DrainRecord {
     pub target: String,
     pub acknowledged: Instant,
 }
 
-/// A target that ran, and the link by which its guard reached it.
+/// A target, and the address of the link between it and its guard.
 pub struct SoakTarget {
     pub target: Arc<HostedTarget>,
-    link: SocketAddr,
+    link_address: SocketAddr,
 }
 
-/// All programs of a run.
+/// All processes of a run, and what they recorded.
 pub struct SoakFleet {
     pub hosts: Vec<SoakHost>,
-    /// Every target that ever ran, for what it saw.
+    /// All targets of the run, including those that ended.
     pub targets: Mutex<Vec<SoakTarget>>,
-    pub drains: Mutex<Vec<DrainNote>>,
-    pub colds: Mutex<Vec<ColdNote>>,
-    pub evacuations: Mutex<Vec<EvacuationNote>>,
-    /// What went wrong with the processes themselves.
+    pub drains: Mutex<Vec<DrainRecord>>,
+    pub cold_periods: Mutex<Vec<ColdPeriod>>,
+    pub evacuations: Mutex<Vec<EvacuationPeriod>>,
+    /// Violations by the daemon processes themselves.
     pub findings: Mutex<Vec<String>>,
-    /// The newest configuration that the store acknowledged.
-    pub version: AtomicU64,
+    /// Version of the newest configuration that the store acknowledged.
+    pub config_version: AtomicU64,
     platform: PlatformStandin,
-    number: AtomicU64,
-    /// Whether a request ends targets: then guards reach them without a link, so that a
-    /// port that is shut looks as it does on one host.
-    deadly: bool,
+    /// Numbers the names and the incarnations of targets.
+    target_counter: AtomicU64,
+    /// Whether clients send requests that crash targets. Guards then connect to targets
+    /// without a link, so that the closed port of a crashed target refuses connections as
+    /// it does on a single host.
+    sends_crash_requests: bool,
 }
 
 impl SoakFleet {
-    /// Starts everything; logs go to files in `logs`.
+    /// Starts all processes; the daemons log to files in `logs`.
     pub fn spawn(runtime: &Handle, plan: &SoakPlan, logs: &Path) -> Self {
         let (hosts, seed) = (plan.hosts, plan.seed);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = PlatformStandin::spawn(any, PlatformLimits::default()).expect("platform");
-        platform.write_config(&configuration(1));
+        let platform =
+            PlatformStandin::spawn(any, PlatformLimits::default()).expect("platform stand-in");
+        platform.write_config(&config_text(1));
         let mut fleet = Self {
             hosts: Vec::new(),
             targets: Mutex::default(),
             drains: Mutex::default(),
-            colds: Mutex::default(),
+            cold_periods: Mutex::default(),
             evacuations: Mutex::default(),
             findings: Mutex::default(),
-            version: AtomicU64::new(1),
+            config_version: AtomicU64::new(1),
             platform,
-            number: AtomicU64::new(0),
-            deadly: plan.deadly,
+            target_counter: AtomicU64::new(0),
+            sends_crash_requests: plan.sends_crash_requests,
         };
         for index in 0..hosts {
             let host = fleet.spawn_host(runtime, index, seed, logs);
@@ -130,22 +136,23 @@
                 "service": service,
                 "target_address": links.target.address(),
                 "terms": format!(
-                    "heartbeat=500ms,retry_budget_ratio={RETRY_RATIO},budget_slack={RETRY_SLACK},\
-                     grace={}s,cold_over={COLD_OVER},cold_slack={COLD_SLACK}", GRACE.as_secs()
+                    "heartbeat=500ms,retry_budget_ratio={RETRY_BUDGET_RATIO},\
+                     budget_slack={RETRY_BUDGET_SLACK},grace={}s,cold_over={COLD_OVER},\
+                     cold_slack={COLD_SLACK}", STOP_GRACE.as_secs()
                 ),
             })),
         };
         let daemon = DaemonProcess::spawn(&spec).expect("daemon");
-        let place = *daemon.place();
-        links.guard.lead_to(place.guard);
-        links.peer.lead_to(place.peer);
-        self.report(&target, &links.target, &place);
+        let addresses = *daemon.place();
+        links.guard.lead_to(addresses.guard);
+        links.peer.lead_to(addresses.peer);
+        self.start_heartbeats(&target, &links.target, &addresses);
         SoakHost {
             service,
-            place,
-            life: AtomicU64::new(1),
+            addresses,
+            incarnation: AtomicU64::new(1),
             freezes: Mutex::default(),
-            troubles: Mutex::default(),
+            link_faults: Mutex::default(),
             starts: Mutex::new(vec![Instant::now()]),
             daemon: Mutex::new(daemon),
             target: Mutex::new(target),
@@ -155,110 +162,113 @@
     }
 
     fn spawn_target(&self, service: &str, link: &FaultyLink) -> Arc<HostedTarget> {
-        let number = self.number.fetch_add(1, Ordering::Relaxed);
-        let target = HostedTarget::spawn(service, &format!("i-{number}"), WORK).expect("target");
+        let number = self.target_counter.fetch_add(1, Ordering::Relaxed);
+        let target =
+            HostedTarget::spawn(service, &format!("i-{number}"), WORK_TIME).expect("target");
         target.restart(number + 1);
-        if self.deadly {
-            target.end_on(DEADLY);
+        if self.sends_crash_requests {
+            target.end_on(CRASH_PATH);
         }
         let target = Arc::new(target);
         link.lead_to(target.address());
-        let ran = SoakTarget { target: Arc::clone(&target), link: link.address() };
-        lock(&self.targets).push(ran);
+        let soak_target = SoakTarget { target: Arc::clone(&target), link_address: link.address() };
+        lock(&self.targets).push(soak_target);
         target
     }
 
-    /// Returns the place of the host that a target ran on.
-    pub fn host_of(&self, ran: &SoakTarget) -> usize {
-        let own = |host: &SoakHost| host.links.target.address() == ran.link;
-        self.hosts.iter().position(own).expect("host")
+    /// Returns the index of the host of a target.
+    pub fn host_index(&self, soak_target: &SoakTarget) -> usize {
+        let is_host = |host: &SoakHost| host.links.target.address() == soak_target.link_address;
+        self.hosts.iter().position(is_host).expect("host")
     }
 
-    /// Tells whether something happened to a host in a span.
-    pub fn was_troubled(&self, host: usize, from: Instant, to: Instant) -> bool {
-        self.hosts[host].was_troubled(from, to)
+    /// Whether a host was disrupted at any time between `from` and `to`.
+    pub fn was_disrupted(&self, host: usize, from: Instant, to: Instant) -> bool {
+        self.hosts[host].was_disrupted(from, to)
     }
 
-    /// Lets one trouble happen, from its start to its end.
-    pub fn play(&self, planned: &PlannedTrouble) {
+    /// Runs one disruption to its end, and records it if it affects links.
+    pub fn run_disruption(&self, planned: &PlannedDisruption) {
         let host = &self.hosts[planned.host];
         let from = Instant::now();
-        self.begin(planned);
-        if planned.trouble.harms_links() {
-            lock(&host.troubles).push((from, Instant::now()));
+        self.inject(planned);
+        if planned.disruption.affects_links() {
+            lock(&host.link_faults).push((from, Instant::now()));
         }
     }
 
-    fn begin(&self, planned: &PlannedTrouble) {
+    fn inject(&self, planned: &PlannedDisruption) {
         let host = &self.hosts[planned.host];
-        match &planned.trouble {
-            Trouble::Kill => self.kill(host),
-            Trouble::KillAll => self.hosts.iter().for_each(|host| self.kill(host)),
-            Trouble::Freeze => freeze(host, planned.lasts),
-            Trouble::Stop => self.stop(host),
-            // A process that has just been killed is told nothing.
-            Trouble::HangUp => drop(lock(&host.daemon).hang_up()),
-            Trouble::Delay(kind, millis) => {
-                host.links.of(*kind).delay(*millis);
-                std::thread::sleep(planned.lasts);
-                host.links.of(*kind).delay(0);
+        match &planned.disruption {
+            Disruption::Kill => self.kill(host),
+            Disruption::KillAll => self.hosts.iter().for_each(|host| self.kill(host)),
+            Disruption::Freeze => freeze(host, planned.duration),
+            Disruption::Stop => self.stop(host),
+            // Sending the signal fails if the process has just been killed.
+            Disruption::ReloadSettings => drop(lock(&host.daemon).hang_up()),
+            Disruption::Delay(kind, millis) => {
+                host.links.by_kind(*kind).delay(*millis);
+                std::thread::sleep(planned.duration);
+                host.links.by_kind(*kind).delay(0);
+            }
+            Disruption::Cut(kind, direction) => {
+                cut(host.links.by_kind(*kind), *direction, planned.duration);
             }
-            Trouble::Cut(kind, way) => cut(host.links.of(*kind), *way, planned.lasts),
-            Trouble::Reset(kind) => host.links.of(*kind).reset(),
-            Trouble::Silence(kind) => host.links.of(*kind).silence(),
-            Trouble::StoreDown => {
-                self.spoil_store(planned.lasts, |faults| faults.down = true);
+            Disruption::Reset(kind) => host.links.by_kind(*kind).reset(),
+            Disruption::Silence(kind) => host.links.by_kind(*kind).silence(),
+            Disruption::StoreDown => {
+                self.with_store_faults(planned.duration, |faults| faults.down = true);
             }
-            Trouble::StoreSlow => {
-                self.spoil_store(planned.lasts, |faults| faults.slow_ms = 400);
+            Disruption::StoreSlow => {
+                self.with_store_faults(planned.duration, |faults| faults.slow_ms = 400);
             }
-            Trouble::StoreLosesAnswers => {
-                self.spoil_store(planned.lasts, |faults| faults.lose_answers = 20);
+            Disruption::StoreLosesAnswers => {
+                self.with_store_faults(planned.duration, |faults| faults.lose_answers = 20);
             }
-            Trouble::StoreForgets => {
-                self.spoil_store(planned.lasts, |faults| faults.history_gone = true);
+            Disruption::StoreLosesHistory => {
+                self.with_store_faults(planned.duration, |faults| faults.history_gone = true);
             }
-            Trouble::Mood(mood) => {
+            Disruption::TargetMisbehaves(mood) => {
                 let target = Arc::clone(&lock(&host.target));
                 target.set_mood(mood.clone());
-                std::thread::sleep(planned.lasts);
+                std::thread::sleep(planned.duration);
                 target.set_mood(HostedMood::Answer);
             }
-            Trouble::SlowTarget => {
+            Disruption::SlowTarget => {
                 let target = Arc::clone(&lock(&host.target));
-                target.set_work(SLOW_WORK);
-                std::thread::sleep(planned.lasts);
-                target.set_work(WORK);
+                target.set_work(SLOW_WORK_TIME);
+                std::thread::sleep(planned.duration);
+                target.set_work(WORK_TIME);
             }
-            Trouble::ReplaceTarget => self.replace_target(host),
-            Trouble::CrashTarget => {
-                let mut present = lock(&host.target);
-                present.crash();
-                self.start_target(host, &mut present);
+            Disruption::ReplaceTarget => self.replace_target(host),
+            Disruption::CrashTarget => {
+                let mut current = lock(&host.target);
+                current.crash();
+                self.start_target(host, &mut current);
             }
-            Trouble::Configure => self.configure(),
+            Disruption::ChangeConfig => self.publish_config(),
         }
     }
 
     fn kill(&self, host: &SoakHost) {
         let mut daemon = lock(&host.daemon);
-        self.expect_running(&mut daemon, &host.spec.host);
+        self.record_unexpected_exit(&mut daemon, &host.spec.host);
         daemon.kill().expect("kill");
         restart(host, &mut daemon);
     }
 
-    /// Stops a daemon as the platform does, and starts it again.
+    /// Stops a daemon as the platform does, and restarts it.
     fn stop(&self, host: &SoakHost) {
-        let life = host.life.load(Ordering::Relaxed);
+        let incarnation = host.incarnation.load(Ordering::Relaxed);
         if lock(&host.daemon).terminate().is_err() {
             return;
         }
-        let until = Instant::now() + GRACE;
+        let until = Instant::now() + STOP_GRACE;
         loop {
             std::thread::sleep(Duration::from_millis(20));
             let mut daemon = lock(&host.daemon);
-            if host.life.load(Ordering::Relaxed) != life {
-                // Killed meanwhile, and started again by who killed it.
+            if host.incarnation.load(Ordering::Relaxed) != incarnation {
+                // Another disruption has killed and restarted it meanwhile.
                 return;
             }
             let status = daemon.wait(Duration::ZERO).expect("wait");
@@ -266,8 +276,9 @@
                 continue;
             }
             if status.is_none_or(|status| !status.success()) {
-                let what = format!("{}: a planned stop ended with {status:?}", host.spec.host);
-                lock(&self.findings).push(what);
+                let finding =
+                    format!("{}: a planned stop ended with status {status:?}", host.spec.host);
+                lock(&self.findings).push(finding);
                 daemon.kill().expect("kill");
             }
             restart(host, &mut daemon);
@@ -275,88 +286,91 @@
         }
     }
 
-    fn expect_running(&self, daemon: &mut DaemonProcess, name: &str) {
-        // One that was asked to stop may have done so.
+    fn record_unexpected_exit(&self, daemon: &mut DaemonProcess, name: &str) {
+        // A daemon that was asked to stop may have exited successfully.
         let status = daemon.wait(Duration::ZERO).expect("wait");
         if status.is_some_and(|status| !status.success()) {
-            lock(&self.findings).push(format!("{name}: ended by itself with {status:?}"));
+            lock(&self.findings)
+                .push(format!("{name}: exited unexpectedly with status {status:?}"));
         }
     }
 
-    fn spoil_store(&self, lasts: Duration, spoil: impl FnOnce(&mut PlatformFaults)) {
+    fn with_store_faults(&self, duration: Duration, set_fault: impl FnOnce(&mut PlatformFaults)) {
         let mut faults = PlatformFaults::default();
-        spoil(&mut faults);
+        set_fault(&mut faults);
         self.platform.set_faults(faults);
-        std::thread::sleep(lasts);
+        std::thread::sleep(duration);
         self.platform.set_faults(PlatformFaults::default());
     }
 
     fn replace_target(&self, host: &SoakHost) {
-        let mut present = lock(&host.target);
-        let control = host.place.control.expect("control");
-        let until = Instant::now() + DRAIN_LIMIT;
+        let mut current = lock(&host.target);
+        let control = host.addresses.control.expect("control");
+        let until = Instant::now() + DRAIN_ACK_TIMEOUT;
         let mut end = until;
-        // A target repeats its word, so that a daemon's next life hears it, too.
+        // The announcement is repeated, so that a restarted daemon receives it, too.
         while Instant::now() < end {
-            let acknowledged = present.drain(control).is_ok_and(|status| status == 200);
+            let acknowledged = current.drain(control).is_ok_and(|status| status == 200);
             if acknowledged && end == until {
-                end = Instant::now() + DRAIN;
-                let target = present.name().to_owned();
-                lock(&self.drains).push(DrainNote { target, acknowledged: Instant::now() });
+                end = Instant::now() + DRAIN_LINGER;
+                let target = current.name().to_owned();
+                lock(&self.drains).push(DrainRecord { target, acknowledged: Instant::now() });
             }
-            std::thread::sleep(DRAIN_EVERY);
+            std::thread::sleep(DRAIN_INTERVAL);
         }
-        // A daemon that is away can't hear of it; its next life never knew it.
-        drop(present.leave(control));
-        present.crash();
-        self.start_target(host, &mut present);
+        // A daemon that is down misses this; once restarted, it does not know the target.
+        drop(current.leave(control));
+        current.crash();
+        self.start_target(host, &mut current);
     }
 
-    /// Starts a target in the place of one that ended.
-    pub fn start_target(&self, host: &SoakHost, present: &mut Arc<HostedTarget>) {
-        *present = self.spawn_target(host.service, &host.links.target);
-        self.report(present, &host.links.target, &host.place);
+    /// Replaces a target that has ended by a new one.
+    pub fn start_target(&self, host: &SoakHost, current: &mut Arc<HostedTarget>) {
+        *current = self.spawn_target(host.service, &host.links.target);
+        self.start_heartbeats(current, &host.links.target, &host.addresses);
     }
 
-    fn report(&self, target: &HostedTarget, link: &FaultyLink, place: &DaemonPlace) {
-        let address = if self.deadly { target.address() } else { link.address() };
-        target.report_as(address, place.control.expect("control"));
+    fn start_heartbeats(&self, target: &HostedTarget, link: &FaultyLink, addresses: &DaemonPlace) {
+        let address = if self.sends_crash_requests { target.address() } else { link.address() };
+        target.report_as(address, addresses.control.expect("control"));
     }
 
-    fn configure(&self) {
-        // One writer at a time, so that versions are written in their order.
+    fn publish_config(&self) {
+        // The lock allows one writer at a time, so that versions are written in order.
         let _writer = lock(&self.drains);
-        let version = self.version.load(Ordering::Relaxed) + 1;
-        self.platform.write_config(&configuration(version));
-        self.version.store(version, Ordering::Relaxed);
+        let version = self.config_version.load(Ordering::Relaxed) + 1;
+        self.platform.write_config(&config_text(version));
+        self.config_version.store(version, Ordering::Relaxed);
     }
 
-    /// Writes the operator's row of an evacuation, or takes it away.
-    pub fn evacuate(&self, centre: usize, evacuated: bool) {
+    /// Writes or deletes the operator row that evacuates a data centre.
+    pub fn evacuate(&self, data_centre: usize, evacuated: bool) {
         let value = evacuated.then_some(&b"{}"[..]);
-        self.platform.write_operator_row(&format!("evacuate/centre-{centre}"), value);
+        self.platform.write_operator_row(&format!("evacuate/centre-{data_centre}"), value);
     }
 
-    /// Has a host's present target turn cold, or start again under its name.
-    pub fn turn_target(&self, host: usize, turn: TargetTurn) {
+    /// Applies an event to the current target of a host.
+    pub fn apply_target_event(&self, host: usize, event: TargetEvent) {
         let target = Arc::clone(&lock(&self.hosts[host].target));
-        match turn {
-            TargetTurn::Reborn => target.restart(self.number.fetch_add(1, Ordering::Relaxed) + 1),
-            TargetTurn::Cold(lasts) => {
+        match event {
+            TargetEvent::Restart => {
+                target.restart(self.target_counter.fetch_add(1, Ordering::Relaxed) + 1);
+            }
+            TargetEvent::Cold(duration) => {
                 let from = Instant::now();
-                target.turn_cold(lasts);
+                target.turn_cold(duration);
                 let name = target.name().to_owned();
-                let note = ColdNote { target: name, host, from, to: from + lasts };
-                lock(&self.colds).push(note);
+                let period = ColdPeriod { target: name, host, from, to: from + duration };
+                lock(&self.cold_periods).push(period);
             }
         }
     }
 
-    /// Ends all faults of links, targets and the store.
-    pub fn heal(&self) {
+    /// Clears all faults of links, targets and the store.
+    pub fn clear_faults(&self) {
         for host in &self.hosts {
             for kind in [LinkKind::Guard, LinkKind::Peer, LinkKind::Store, LinkKind::Target] {
-                host.links.of(kind).heal();
+                host.links.by_kind(kind).heal();
             }
             lock(&host.target).set_mood(HostedMood::Answer);
         }
@@ -364,17 +378,20 @@
     }
 
     /// Waits until each daemon serves each service by the newest configuration.
+    ///
+    /// Returns `false` and records a finding after `RECOVERY_TIMEOUT`.
     pub fn wait_recovered(&self) -> bool {
-        let until = Instant::now() + EVENTUALLY;
-        let version = self.version.load(Ordering::Relaxed);
+        let until = Instant::now() + RECOVERY_TIMEOUT;
+        let version = self.config_version.load(Ordering::Relaxed);
         self.hosts.iter().enumerate().all(|(index, host)| {
             loop {
-                if SERVICES.iter().all(|service| serves(host, service, version)) {
+                if SERVICES.iter().all(|service| serves_version(host, service, version)) {
                     return true;
                 }
                 if Instant::now() >= until {
-                    let what = format!("host-{index}: not recovered");
-                    lock(&self.findings).push(what);
+                    let finding =
+                        format!("host-{index}: not recovered within {RECOVERY_TIMEOUT:?}");
+                    lock(&self.findings).push(finding);
                     return false;
                 }
                 std::thread::sleep(Duration::from_millis(50));
@@ -382,9 +399,9 @@
         })
     }
 
-    /// Ends all targets, so that their threads end.
-    pub fn end_targets(&self) {
-        lock(&self.targets).iter().for_each(|ran| ran.target.crash());
+    /// Crashes all targets, so that their threads end.
+    pub fn crash_targets(&self) {
+        lock(&self.targets).iter().for_each(|soak_target| soak_target.target.crash());
     }
 }
 
@@ -392,8 +409,8 @@
     logs.join(format!("host-{index}.log"))
 }
 
-/// Makes a configuration: two routes for each service, and one more a version.
-fn configuration(version: u64) -> String {
+/// Returns a configuration with two routes per service, and one more per version.
+fn config_text(version: u64) -> String {
     let route = |service: &str, name: &str, prefix: &str, kind: &str| {
         json!({
             "name": name, "prefix": prefix, "route_type": kind, "timeout": "3s",
@@ -401,7 +418,7 @@
             "max_attempts": MAX_ATTEMPTS,
         })
     };
-    let host_of =
+    let virtual_host =
         |service: &&str| {
             let mut paths = vec![
                 route(service, "read", "/read/", "safe"),
@@ -429,7 +446,7 @@
             "max_header_bytes": 16_384, "max_body_bytes": 67_108_864,
             "header_timeout": "3000ms", "idle_timeout": "15000ms",
         },
-        "virtual_hosts": SERVICES.iter().map(host_of).collect::<Vec<Value>>(),
+        "virtual_hosts": SERVICES.iter().map(virtual_host).collect::<Vec<Value>>(),
     })
     .to_string()
 }
--- a/tests/soak/host.rs
+++ b/tests/soak/host.rs
@@ -1,5 +1,5 @@
-//! One host of a run: its daemon, its present target, and a faulty link before each
-//! address that others use.
+//! One host of a run: its daemon, its current target, and a fault-injecting link in
+//! front of each address that other processes connect to.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The links before one host.
+/// The links of one host.
 pub struct HostLinks {
     pub guard: FaultyLink,
     pub peer: FaultyLink,
@@ -24,7 +24,7 @@
 }
 
 impl HostLinks {
-    pub const fn of(&self, kind: LinkKind) -> &FaultyLink {
+    pub const fn by_kind(&self, kind: LinkKind) -> &FaultyLink {
         match kind {
             LinkKind::Guard => &self.guard,
             LinkKind::Peer => &self.peer,
@@ -34,17 +34,17 @@
     }
 }
 
-/// One host with its daemon and its present target.
+/// One host with its daemon and its current target.
 pub struct SoakHost {
     pub service: &'static str,
-    pub place: DaemonPlace,
-    /// Grows with each start of the daemon.
-    pub life: AtomicU64,
-    /// When the daemon stood still, from and to.
+    pub addresses: DaemonPlace,
+    /// Number of starts of the daemon so far.
+    pub incarnation: AtomicU64,
+    /// Start and end of each span in which the daemon was suspended.
     pub freezes: Mutex<Vec<(Instant, Instant)>>,
-    /// When its links were harmed, from and to.
-    pub troubles: Mutex<Vec<(Instant, Instant)>>,
-    /// When its lives began.
+    /// Start and end of each fault of its links.
+    pub link_faults: Mutex<Vec<(Instant, Instant)>>,
+    /// Time of each start of the daemon.
     pub starts: Mutex<Vec<Instant>>,
     pub daemon: Mutex<DaemonProcess>,
     pub target: Mutex<Arc<HostedTarget>>,
@@ -53,24 +53,25 @@
 }
 
 impl SoakHost {
-    /// Tells whether the daemon stood still at some time of a span.
+    /// Whether the daemon was suspended at any time between `from` and `to`.
     pub fn was_frozen(&self, from: Instant, to: Instant) -> bool {
         self.first_freeze(from, to).is_some()
     }
 
-    /// Tells whether the daemon was started in a span.
+    /// Whether the daemon was started after `from` and not after `to`.
     pub fn started_within(&self, from: Instant, to: Instant) -> bool {
         lock(&self.starts).iter().any(|start| *start > from && *start <= to)
     }
 
-    /// Tells whether something happened to the daemon or its links in a span.
-    pub fn was_troubled(&self, from: Instant, to: Instant) -> bool {
-        let troubles = lock(&self.troubles);
-        let linked = troubles.iter().any(|(start, end)| *start < to && *end > from);
-        linked || self.was_frozen(from, to) || self.started_within(from, to)
+    /// Whether the daemon was started or suspended, or its links were impaired, at any time
+    /// between `from` and `to`.
+    pub fn was_disrupted(&self, from: Instant, to: Instant) -> bool {
+        let link_faults = lock(&self.link_faults);
+        let has_link_fault = link_faults.iter().any(|(start, end)| *start < to && *end > from);
+        has_link_fault || self.was_frozen(from, to) || self.started_within(from, to)
     }
 
-    /// Returns when the daemon first stood still in a span.
+    /// Returns the first time between `from` and `to` at which the daemon was suspended.
     pub fn first_freeze(&self, from: Instant, to: Instant) -> Option<Instant> {
         let freezes = lock(&self.freezes);
         let within = freezes.iter().filter(|(start, end)| *start < to && *end > from);
@@ -78,38 +79,42 @@
     }
 }
 
-/// Asks a daemon for something on the newest route of a service.
-pub fn serves(host: &SoakHost, service: &str, version: u64) -> bool {
+/// Whether a daemon serves the route of a service that the given configuration version
+/// added.
+pub fn serves_version(host: &SoakHost, service: &str, version: u64) -> bool {
     let domain = format!("{service}.example");
     let headers = [("Host", &*domain), ("X-Request-Id", "recovery"), ("X-Deadline-Ms", "1000")];
     let path = format!("/v{version}/recovery");
-    let answer = hosted_call(host.place.caller, "GET", &path, &headers, b"");
+    let answer = hosted_call(host.addresses.caller, "GET", &path, &headers, b"");
     answer.is_ok_and(|answer| answer.status == 200)
 }
 
+/// Replaces the daemon process, which must have exited, by a new one.
 pub fn restart(host: &SoakHost, daemon: &mut DaemonProcess) {
-    host.life.fetch_add(1, Ordering::Relaxed);
+    host.incarnation.fetch_add(1, Ordering::Relaxed);
     lock(&host.starts).push(Instant::now());
-    *daemon = DaemonProcess::spawn_at(&host.spec, &host.place).expect("daemon");
+    *daemon = DaemonProcess::spawn_at(&host.spec, &host.addresses).expect("daemon");
 }
 
-pub fn freeze(host: &SoakHost, lasts: Duration) {
-    let life = host.life.load(Ordering::Relaxed);
+/// Suspends the daemon for a time; resumes it unless it was restarted meanwhile.
+pub fn freeze(host: &SoakHost, duration: Duration) {
+    let incarnation = host.incarnation.load(Ordering::Relaxed);
     let from = Instant::now();
     if lock(&host.daemon).freeze().is_err() {
         return;
     }
-    std::thread::sleep(lasts);
+    std::thread::sleep(duration);
     let daemon = lock(&host.daemon);
     lock(&host.freezes).push((from, Instant::now()));
-    if host.life.load(Ordering::Relaxed) == life {
-        // It may have ended just now; then there is nothing to thaw.
+    if host.incarnation.load(Ordering::Relaxed) == incarnation {
+        // The process may have exited just now; then there is nothing to resume.
         drop(daemon.thaw());
     }
 }
 
-pub fn cut(link: &FaultyLink, way: LinkWay, lasts: Duration) {
-    link.cut(way, true);
-    std::thread::sleep(lasts);
-    link.cut(way, false);
+/// Cuts a link in one direction for a time.
+pub fn cut(link: &FaultyLink, direction: LinkWay, duration: Duration) {
+    link.cut(direction, true);
+    std::thread::sleep(duration);
+    link.cut(direction, false);
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,16 +1,19 @@
-//! A randomized soak: the real daemons as processes of their own, under faults
-//! from outside, while clients and targets check what the product promises.
+//! Randomised soak test: runs real daemon processes under injected faults and planned
+//! operations, and checks the documented guarantees against what clients and targets
+//! recorded.
 //!
-//! By hand: `SOAK_SEEDS=1..50 cargo test --release --test soak -- --ignored`;
-//! `SOAK_SECONDS` and `SOAK_HOSTS` change the size. A run that fails leaves the
-//! daemons' logs in `target/soak/seed-N`. docs/SOAK.md has the table of seeds.
+//! Longer runs are started by hand:
+//! `SOAK_SEEDS=1..50 cargo test --release --test soak -- --ignored`.
+//! `SOAK_SECONDS` and `SOAK_HOSTS` set the duration and the size of the fleet. A failed
+//! run leaves the logs of the daemons in `target/soak/seed-N`. docs/SOAK.md lists the
+//! seeds and their results.
 
-mod caller;
+mod capacity_events;
 mod check;
-mod deadly;
+mod client;
+mod crash_requests;
 mod fleet;
 mod host;
-mod places;
 mod plan;
 
 use std::path::PathBuf;
@@ -22,54 +25,58 @@
 use fleet::SoakFleet;
 use plan::SoakPlan;
 
-/// Clients for each host.
-const CLIENTS: usize = 2;
+/// Number of clients per host.
+const CLIENTS_PER_HOST: usize = 2;
 
-/// Time for what is still under way when the clients stop.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time that requests still in flight get to finish after the clients stop.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Size of a run in CI.
-const SHORT: Duration = Duration::from_secs(8);
-const HOSTS: usize = 6;
+/// Duration of a run and number of hosts in CI.
+const CI_DURATION: Duration = Duration::from_secs(8);
+const CI_HOSTS: usize = 6;
 
-#[test_case(1; "troubles of all kinds")]
-#[test_case(3; "planned work alone")]
-#[test_case(7; "answers held up past the question for a status")]
-#[test_case(23; "hedges beside lost tries")]
-#[test_case(1_000; "cold and reborn targets, an evacuation")]
-#[test_case(2_000; "a request that ends targets")]
-fn a_short_run_keeps_every_promise(seed: u64) {
-    play(&SoakPlan::draw(seed, HOSTS, SHORT));
+#[test_case(1; "faults of all kinds")]
+#[test_case(3; "planned operations only")]
+#[test_case(7; "answers delayed past the status query")]
+#[test_case(23; "hedges beside lost attempts")]
+#[test_case(1_000; "cold and restarted targets and an evacuation")]
+#[test_case(2_000; "a request that crashes targets")]
+fn a_short_run_breaks_no_guarantee(seed: u64) {
+    run_plan(&SoakPlan::draw(seed, CI_HOSTS, CI_DURATION));
 }
 
 #[test]
-#[ignore = "by hand, with fresh seeds"]
-fn fresh_seeds() {
+#[ignore = "long; run by hand with new seeds"]
+fn runs_of_chosen_seeds_break_no_guarantee() {
     let seeds = std::env::var("SOAK_SEEDS").unwrap_or_else(|_unset| "1..5".to_owned());
-    let (first, last) = seeds.split_once("..").expect("SOAK_SEEDS is FIRST..LAST");
-    let (first, last): (u64, u64) = (first.parse().expect("first"), last.parse().expect("last"));
-    let seconds = number("SOAK_SECONDS", 20);
-    let hosts = number("SOAK_HOSTS", HOSTS as u64) as usize;
+    let (first, last) = seeds.split_once("..").expect("SOAK_SEEDS must be FIRST..LAST");
+    let (first, last): (u64, u64) =
+        (first.parse().expect("first seed"), last.parse().expect("last seed"));
+    let seconds = env_number("SOAK_SECONDS", 20);
+    let hosts = env_number("SOAK_HOSTS", CI_HOSTS as u64) as usize;
     let mut failed = Vec::new();
     for seed in first..=last {
         let plan = SoakPlan::draw(seed, hosts, Duration::from_secs(seconds));
-        if std::panic::catch_unwind(|| play(&plan)).is_err() {
+        if std::panic::catch_unwind(|| run_plan(&plan)).is_err() {
             failed.push(seed);
         }
     }
     assert!(failed.is_empty(), "failed seeds: {failed:?}");
 }
 
-fn number(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
+fn env_number(name: &str, default: u64) -> u64 {
+    std::env::var(name)
+        .map_or(default, |text| text.parse().expect("environment variable must be a number"))
 }
 
-/// Plays one run; panics with all findings if a promise was broken.
-fn play(plan: &SoakPlan) {
+/// Runs one plan.
+///
+/// Panics with all findings if a guarantee was broken.
+fn run_plan(plan: &SoakPlan) {
     let logs =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("../soak/seed-{}", plan.seed));
     drop(std::fs::remove_dir_all(&logs));
-    std::fs::create_dir_all(&logs).expect("folder of logs");
+    std::fs::create_dir_all(&logs).expect("log directory");
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -79,48 +86,48 @@
     fleet.wait_recovered();
     let stop = AtomicBool::new(false);
     let start = Instant::now();
-    let notes: Vec<caller::RequestNote> = std::thread::scope(|scope| {
-        let clients: Vec<_> = (0..plan.hosts * CLIENTS)
+    let records: Vec<client::RequestRecord> = std::thread::scope(|scope| {
+        let clients: Vec<_> = (0..plan.hosts * CLIENTS_PER_HOST)
             .map(|number| {
                 scope.spawn({
                     let (fleet, stop) = (&fleet, &stop);
-                    move || caller::run(fleet, number, plan.seed, stop)
+                    move || client::run_client(fleet, number, plan.seed, stop)
                 })
             })
             .collect();
-        let places = scope.spawn(|| places::play(&fleet, &plan.places, start));
-        let deadly = plan.deadly.then(|| {
-            scope.spawn(|| deadly::revive(&fleet, plan.seed, &stop));
-            scope.spawn(|| deadly::send_copies(&fleet, plan.seed, &stop))
+        let capacity_thread = scope.spawn(|| capacity_events::run(&fleet, &plan.capacity, start));
+        let crash_client = plan.sends_crash_requests.then(|| {
+            scope.spawn(|| crash_requests::restart_crashed_targets(&fleet, plan.seed, &stop));
+            scope.spawn(|| crash_requests::send_copies(&fleet, plan.seed, &stop))
         });
-        let troubles: Vec<_> = plan
-            .troubles
+        let disruptions: Vec<_> = plan
+            .disruptions
             .iter()
             .map(|planned| {
                 std::thread::sleep((start + planned.at).saturating_duration_since(Instant::now()));
-                scope.spawn(|| fleet.play(planned))
+                scope.spawn(|| fleet.run_disruption(planned))
             })
             .collect();
-        for trouble in troubles {
-            trouble.join().expect("trouble");
+        for disruption in disruptions {
+            disruption.join().expect("disruption thread");
         }
-        places.join().expect("places");
-        fleet.heal();
+        capacity_thread.join().expect("capacity event thread");
+        fleet.clear_faults();
         fleet.wait_recovered();
-        std::thread::sleep((start + plan.length).saturating_duration_since(Instant::now()));
+        std::thread::sleep((start + plan.duration).saturating_duration_since(Instant::now()));
         stop.store(true, Ordering::Relaxed);
-        let copies = deadly.into_iter().chain(clients);
-        copies.flat_map(|client| client.join().expect("client")).collect()
+        let clients = crash_client.into_iter().chain(clients);
+        clients.flat_map(|client| client.join().expect("client thread")).collect()
     });
-    std::thread::sleep(SETTLE);
-    let findings = check::judge(&fleet, &notes, plan.calm);
-    fleet.end_targets();
-    let served = notes.iter().filter(|note| note.is_served()).count();
+    std::thread::sleep(SETTLE_TIME);
+    let findings = check::check_run(&fleet, &records, plan.planned_only);
+    fleet.crash_targets();
+    let served = records.iter().filter(|record| record.is_served()).count();
     println!(
-        "seed {}: {} troubles, {} requests, {served} served, {} findings",
+        "seed {}: {} disruptions, {} requests, {served} served, {} findings",
         plan.seed,
-        plan.troubles.len(),
-        notes.len(),
+        plan.disruptions.len(),
+        records.len(),
         findings.len()
     );
     assert!(
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from its seed before it starts.
+//! The events of a run, all drawn from its seed before it starts.
 
 use std::time::Duration;
 
@@ -6,170 +6,175 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::deadly;
-use super::places::PlacePlan;
+use super::capacity_events::CapacityPlan;
+use super::crash_requests;
 
-/// Mean time between two troubles, in milliseconds.
-const TROUBLE_EVERY_MS: u64 = 450;
+/// Mean time between two draws, in milliseconds.
+const MEAN_INTERVAL_MS: u64 = 450;
 
-/// One in so many troubles comes as a series on the same host.
-const SERIES: u32 = 4;
+/// One in this many draws gives a series of two or three disruptions of the same host.
+const SERIES_ODDS: u32 = 4;
 
-/// Part of a run that has troubles; the rest is recovery.
-const TROUBLED_PART: f64 = 0.75;
+/// Share of a run in which disruptions start; the rest is for recovery.
+const DISRUPTED_SHARE: f64 = 0.75;
 
-/// How long a trouble lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 200..2_500;
+/// Duration of a disruption, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 200..2_500;
 
-/// Which connections of a host a link carries.
+/// Which traffic of a host a link carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkKind {
-    /// Of other daemons' entries to its guard.
+    /// Calls from the entries of other daemons to its guard.
     Guard,
-    /// Of other daemons' gossip and exchanges.
+    /// Gossip and full exchanges from other daemons.
     Peer,
-    /// Of its daemon to the platform's store.
+    /// Requests of its daemon to the platform's store.
     Store,
-    /// Of its guard to its target.
+    /// Calls from its guard to its target.
     Target,
 }
 
-/// One trouble; `lasts` is when it ends by itself.
+/// A fault or a planned operation.
+///
+/// Those that last end after [`PlannedDisruption::duration`].
 #[derive(Clone, Debug)]
-pub enum Trouble {
-    /// The daemon is killed and started again at once.
+pub enum Disruption {
+    /// The daemon is killed and restarted at once.
     Kill,
-    /// All daemons are killed and started again.
+    /// All daemons are killed and restarted at once.
     KillAll,
-    /// The daemon stands still.
+    /// The daemon process is suspended.
     Freeze,
-    /// The daemon is asked to stop, and started again once it ended.
+    /// The daemon is asked to stop, and restarted once it has exited.
     Stop,
-    /// The daemon is told that its settings may have changed.
-    HangUp,
-    /// A link holds up what passes.
+    /// The daemon is signalled to reload its settings.
+    ReloadSettings,
+    /// A link delays all traffic by this many milliseconds.
     Delay(LinkKind, u64),
-    /// A link lets nothing pass one way.
+    /// A link passes nothing in one direction.
     Cut(LinkKind, LinkWay),
-    /// All connections of a link are reset.
+    /// All open connections of a link are reset.
     Reset(LinkKind),
-    /// All connections of a link fall silent for good.
+    /// A link drops everything on the connections that are open now, for good.
     Silence(LinkKind),
-    /// The store refuses everything.
+    /// The store refuses all requests.
     StoreDown,
     /// The store is slow.
     StoreSlow,
-    /// The store does writes and does not answer them.
+    /// The store applies writes without answering them.
     StoreLosesAnswers,
-    /// The store forgets its history.
-    StoreForgets,
-    /// The target answers wrongly.
-    Mood(HostedMood),
-    /// The target's work takes longer.
+    /// The store loses its history of changes.
+    StoreLosesHistory,
+    /// The target answers incorrectly.
+    TargetMisbehaves(HostedMood),
+    /// The target takes longer to process requests.
     SlowTarget,
-    /// The target says that it drains, leaves, and another one starts.
+    /// The target announces its drain, leaves, and is replaced by another one.
     ReplaceTarget,
-    /// The target ends without a word, and another one starts.
+    /// The target crashes, and is replaced by another one.
     CrashTarget,
-    /// The operator writes a configuration with one more route.
-    Configure,
+    /// The operator publishes a configuration with one more route.
+    ChangeConfig,
 }
 
-impl Trouble {
-    /// Tells whether it keeps a daemon from others or from the store.
-    pub const fn harms_links(&self) -> bool {
+impl Disruption {
+    /// Whether it impairs the connections of a daemon to other daemons, the store or
+    /// the target.
+    pub const fn affects_links(&self) -> bool {
         matches!(self, Self::Delay(..) | Self::Cut(..) | Self::Reset(_) | Self::Silence(_))
     }
 }
 
-/// A trouble, when and where.
+/// A disruption with its start, duration and host.
 #[derive(Clone, Debug)]
-pub struct PlannedTrouble {
+pub struct PlannedDisruption {
+    /// Start, counted from the start of the run.
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub host: usize,
-    pub trouble: Trouble,
+    pub disruption: Disruption,
 }
 
-/// Everything that happens in a run.
+/// All events of a run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
     pub seed: u64,
     pub hosts: usize,
-    pub length: Duration,
-    /// Whether there is planned work alone, so that nothing may be lost.
-    pub calm: bool,
-    pub troubles: Vec<PlannedTrouble>,
-    pub places: PlacePlan,
-    /// Whether copies of a request come that ends each target that runs it.
-    pub deadly: bool,
+    pub duration: Duration,
+    /// Whether the run has planned operations only, so that no request may be lost.
+    pub planned_only: bool,
+    pub disruptions: Vec<PlannedDisruption>,
+    pub capacity: CapacityPlan,
+    /// Whether clients also send copies of a request that crashes each target that runs it.
+    pub sends_crash_requests: bool,
 }
 
 impl SoakPlan {
-    /// Draws a run; every third seed has planned work alone.
-    pub fn draw(seed: u64, hosts: usize, length: Duration) -> Self {
+    /// Draws a run; every third seed has planned operations only.
+    pub fn draw(seed: u64, hosts: usize, duration: Duration) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let calm = seed.is_multiple_of(3);
-        let end_ms = length.mul_f64(TROUBLED_PART).as_millis() as u64;
-        let mut troubles = Vec::new();
+        let planned_only = seed.is_multiple_of(3);
+        let end_ms = duration.mul_f64(DISRUPTED_SHARE).as_millis() as u64;
+        let mut disruptions = Vec::new();
         let mut at_ms = 0;
         loop {
-            at_ms += rng.random_range(0..2 * TROUBLE_EVERY_MS);
+            at_ms += rng.random_range(0..2 * MEAN_INTERVAL_MS);
             if at_ms >= end_ms {
                 break;
             }
             let host = rng.random_range(0..hosts);
-            let times = if rng.random_ratio(1, SERIES) { rng.random_range(2..4) } else { 1 };
-            for step in 0..times {
-                let trouble = draw_trouble(&mut rng, calm);
-                troubles.push(PlannedTrouble {
+            let series_length =
+                if rng.random_ratio(1, SERIES_ODDS) { rng.random_range(2..4) } else { 1 };
+            for step in 0..series_length {
+                let disruption = draw_disruption(&mut rng, planned_only);
+                disruptions.push(PlannedDisruption {
                     at: Duration::from_millis(at_ms + step * 120),
-                    lasts: Duration::from_millis(rng.random_range(LASTS_MS)),
+                    duration: Duration::from_millis(rng.random_range(DURATION_MS)),
                     host,
-                    trouble,
+                    disruption,
                 });
             }
         }
-        troubles.sort_by_key(|planned| planned.at);
-        let places = PlacePlan::draw(seed, hosts, length);
-        let deadly = seed >= deadly::FIRST_SEED;
-        // Where targets end under calls, work is not all planned.
-        let calm = calm && !deadly;
-        Self { seed, hosts, length, calm, troubles, places, deadly }
+        disruptions.sort_by_key(|planned| planned.at);
+        let capacity = CapacityPlan::draw(seed, hosts, duration);
+        let sends_crash_requests = seed >= crash_requests::FIRST_SEED;
+        // Targets that crash while they run a request are not a planned operation.
+        let planned_only = planned_only && !sends_crash_requests;
+        Self { seed, hosts, duration, planned_only, disruptions, capacity, sends_crash_requests }
     }
 }
 
-fn draw_trouble(rng: &mut Pcg64Mcg, calm: bool) -> Trouble {
-    if calm {
+fn draw_disruption(rng: &mut Pcg64Mcg, planned_only: bool) -> Disruption {
+    if planned_only {
         return match rng.random_range(0..4) {
-            0 => Trouble::Stop,
-            1 => Trouble::HangUp,
-            2 => Trouble::ReplaceTarget,
-            _ => Trouble::Configure,
+            0 => Disruption::Stop,
+            1 => Disruption::ReloadSettings,
+            2 => Disruption::ReplaceTarget,
+            _ => Disruption::ChangeConfig,
         };
     }
     match rng.random_range(0..24) {
-        0 | 1 => Trouble::Kill,
-        2 => Trouble::KillAll,
-        3 | 4 => Trouble::Freeze,
-        5 | 6 => Trouble::Stop,
-        7 => Trouble::HangUp,
-        8 | 9 => Trouble::Delay(draw_far_link(rng), rng.random_range(5..300)),
-        10..=12 => Trouble::Cut(draw_far_link(rng), draw_way(rng)),
-        13 => Trouble::Reset(draw_link(rng)),
-        14 | 15 => Trouble::Silence(draw_link(rng)),
-        16 => draw_store(rng),
-        17..=19 => Trouble::Mood(draw_mood(rng)),
-        20 => Trouble::SlowTarget,
-        21 => Trouble::ReplaceTarget,
-        22 => Trouble::CrashTarget,
-        _ => Trouble::Configure,
+        0 | 1 => Disruption::Kill,
+        2 => Disruption::KillAll,
+        3 | 4 => Disruption::Freeze,
+        5 | 6 => Disruption::Stop,
+        7 => Disruption::ReloadSettings,
+        8 | 9 => Disruption::Delay(draw_inter_host_link(rng), rng.random_range(5..300)),
+        10..=12 => Disruption::Cut(draw_inter_host_link(rng), draw_direction(rng)),
+        13 => Disruption::Reset(draw_link(rng)),
+        14 | 15 => Disruption::Silence(draw_link(rng)),
+        16 => draw_store_fault(rng),
+        17..=19 => Disruption::TargetMisbehaves(draw_misbehaviour(rng)),
+        20 => Disruption::SlowTarget,
+        21 => Disruption::ReplaceTarget,
+        22 => Disruption::CrashTarget,
+        _ => Disruption::ChangeConfig,
     }
 }
 
-/// Draws a link between hosts; a target is on its daemon's own host, where
-/// nothing holds bytes up.
-fn draw_far_link(rng: &mut Pcg64Mcg) -> LinkKind {
+/// Draws a link between hosts: all but that to the target, which runs on the same host as
+/// its daemon, where traffic is neither delayed nor cut.
+fn draw_inter_host_link(rng: &mut Pcg64Mcg) -> LinkKind {
     let kinds = [LinkKind::Guard, LinkKind::Peer, LinkKind::Store];
     kinds[rng.random_range(0..kinds.len())]
 }
@@ -179,20 +184,20 @@
     kinds[rng.random_range(0..kinds.len())]
 }
 
-fn draw_way(rng: &mut Pcg64Mcg) -> LinkWay {
+fn draw_direction(rng: &mut Pcg64Mcg) -> LinkWay {
     if rng.random() { LinkWay::Inward } else { LinkWay::Outward }
 }
 
-fn draw_store(rng: &mut Pcg64Mcg) -> Trouble {
+fn draw_store_fault(rng: &mut Pcg64Mcg) -> Disruption {
     match rng.random_range(0..4) {
-        0 => Trouble::StoreDown,
-        1 => Trouble::StoreSlow,
-        2 => Trouble::StoreLosesAnswers,
-        _ => Trouble::StoreForgets,
+        0 => Disruption::StoreDown,
+        1 => Disruption::StoreSlow,
+        2 => Disruption::StoreLosesAnswers,
+        _ => Disruption::StoreLosesHistory,
     }
 }
 
-fn draw_mood(rng: &mut Pcg64Mcg) -> HostedMood {
+fn draw_misbehaviour(rng: &mut Pcg64Mcg) -> HostedMood {
     let moods = [
         HostedMood::LoseAnswer,
         HostedMood::Foreign,
