--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -1,7 +1,7 @@
-//! A whole fleet on loopback, as separate processes, under mixed calls.
+//! Runs a whole fleet on loopback, as separate processes, under a mix of calls.
 //!
-//! The example starts itself again for each part: the platform, the daemons
-//! and the targets. `--kill N` kills a daemon half-way through the calls.
+//! The example starts its own binary again for each part: the platform, the daemons and
+//! the targets. `--kill N` kills a daemon half-way through the calls.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -28,38 +28,41 @@
 
 use users::{CONSORTIUM, FUNDACION, UserFleet};
 
-type Outcome<T> = Result<T, Box<dyn Error + Send + Sync>>;
+type BoxResult<T> = Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Longest wait for the fleet to come up.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// Time within which the fleet must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time a caller has, in milliseconds.
+/// Deadline of a call, in milliseconds.
 const DEADLINE_MS: u32 = 3_000;
 
-/// Times a caller comes back after `not run`, when told to.
-const COME_BACKS: u32 = 4;
+/// Largest number of retries of a call after an outcome that allows them.
+const MAX_RETRIES: u32 = 4;
 
 #[derive(Debug, Options)]
-struct QuickOptions {
+struct QuickstartOptions {
     #[options(help = "print this help")]
     help: bool,
 
-    #[options(help = "whose services: fundacion or consortium", default = "fundacion")]
+    #[options(help = "user whose services run: fundacion or consortium", default = "fundacion")]
     users: String,
 
-    #[options(help = "calls to make", default = "2000")]
+    #[options(help = "number of calls", default = "2000")]
     calls: u32,
 
-    #[options(help = "calls under way at once", default = "48")]
+    #[options(help = "number of concurrent calls", default = "48")]
     at_once: usize,
 
-    #[options(no_short, help = "kill the daemon of this number, from 0, half-way")]
+    #[options(
+        no_short,
+        help = "kill the daemon with this index, from 0, half-way through the calls"
+    )]
     kill: Option<usize>,
 
-    #[options(no_short, help = "seed of the calls", default = "1")]
+    #[options(no_short, help = "seed of the random calls", default = "1")]
     seed: u64,
 
-    #[options(no_short, help = "play one part of the fleet (internal)")]
+    #[options(no_short, help = "run one part of the fleet (internal)")]
     part: Option<String>,
 
     #[options(free)]
@@ -67,28 +70,30 @@
 }
 
 fn main() -> ExitCode {
-    let options = QuickOptions::parse_args_default_or_exit();
-    let ended = match options.part.as_deref() {
-        Some("daemon") => play_daemon(&options.arguments),
-        Some("platform") => play_platform(),
-        Some("target") => play_target(&options.arguments),
-        Some(other) => Err(format!("no part `{other}`").into()),
+    let options = QuickstartOptions::parse_args_default_or_exit();
+    let exit_code = match options.part.as_deref() {
+        Some("daemon") => run_daemon(&options.arguments),
+        Some("platform") => run_platform(),
+        Some("target") => run_target(&options.arguments),
+        Some(other) => {
+            Err(format!("unknown part `{other}`; expected daemon, platform or target").into())
+        }
         None => run(&options),
     };
-    ended.unwrap_or_else(|error| {
+    exit_code.unwrap_or_else(|error| {
         eprintln!("{error}");
         ExitCode::from(2)
     })
 }
 
-fn play_daemon(arguments: &[String]) -> Outcome<ExitCode> {
-    let file = arguments.first().ok_or("expected a settings file")?;
+fn run_daemon(arguments: &[String]) -> BoxResult<ExitCode> {
+    let file = arguments.first().ok_or("the daemon needs the path of a settings file")?;
     let settings = DaemonSettings::parse(file, &std::fs::read_to_string(file)?)?;
-    let kept = settings.clone();
+    let reloaded = settings.clone();
     let parts = DaemonParts {
         client: open_store(settings.platform_address),
         adapter: railspan::adapter(),
-        reload: Box::new(move || Ok(kept.clone())),
+        reload: Box::new(move || Ok(reloaded.clone())),
     };
     let daemon = railspan::spawn(&settings, parts)?;
     println!("{}", serde_json::to_string(daemon.addresses())?);
@@ -96,15 +101,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn play_platform() -> Outcome<ExitCode> {
+fn run_platform() -> BoxResult<ExitCode> {
     let platform = PlatformStandin::spawn("127.0.0.1:0".parse()?, PlatformLimits::default())?;
     println!("{}", platform.address());
     wait_for_parent()
 }
 
-fn play_target(arguments: &[String]) -> Outcome<ExitCode> {
+fn run_target(arguments: &[String]) -> BoxResult<ExitCode> {
     let [service, name, daemon, slots, service_us, seed] = arguments else {
-        return Err("expected service, name, daemon, slots, service_us, seed".into());
+        return Err("the target needs service, name, daemon, slots, service_us and seed".into());
     };
     let target = TargetStandin::spawn(TargetOptions {
         service: service.clone(),
@@ -119,20 +124,20 @@
     wait_for_parent()
 }
 
-/// Ends when the parent closes the pipe, also when it was killed.
-fn wait_for_parent() -> Outcome<ExitCode> {
+/// Waits until the parent closes the pipe to stdin or ends, even if it was killed.
+fn wait_for_parent() -> BoxResult<ExitCode> {
     std::io::copy(&mut std::io::stdin(), &mut std::io::sink())?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// A stand-in as a process of its own; killed when dropped.
+/// A stand-in as a separate process, which is killed on drop.
 struct PartProcess {
     child: Child,
     address: SocketAddr,
 }
 
 impl PartProcess {
-    fn spawn(part: &str, arguments: &[String]) -> Outcome<Self> {
+    fn spawn(part: &str, arguments: &[String]) -> BoxResult<Self> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(["--part", part])
             .args(arguments)
@@ -140,7 +145,7 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let mut line = String::new();
-        let stdout = child.stdout.take().ok_or("no output")?;
+        let stdout = child.stdout.take().ok_or("the output of the child process is not piped")?;
         BufReader::new(stdout).read_line(&mut line)?;
         let address = line.trim().parse()?;
         Ok(Self { child, address })
@@ -161,44 +166,46 @@
     platform: PartProcess,
 }
 
-fn run(options: &QuickOptions) -> Outcome<ExitCode> {
+fn run(options: &QuickstartOptions) -> BoxResult<ExitCode> {
     let user = match options.users.as_str() {
         "fundacion" => &FUNDACION,
         "consortium" => &CONSORTIUM,
-        other => return Err(format!("no users `{other}`; fundacion or consortium").into()),
+        other => {
+            return Err(format!("unknown user `{other}`; expected fundacion or consortium").into());
+        }
     };
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut fleet = start_fleet(user)?;
     runtime.block_on(publish(user, fleet.platform.address))?;
-    let places: Vec<DaemonPlace> = fleet.daemons.iter().map(|daemon| *daemon.place()).collect();
-    runtime.block_on(wait_ready(user, &places))?;
-    let (reports, posted) = runtime.block_on(make_calls(options, user, &places, &mut fleet))?;
+    let daemons: Vec<DaemonPlace> = fleet.daemons.iter().map(|daemon| *daemon.place()).collect();
+    runtime.block_on(wait_ready(user, &daemons))?;
+    let (reports, post_keys) = runtime.block_on(make_calls(options, user, &daemons, &mut fleet))?;
     let runs = runtime.block_on(read_runs(&fleet))?;
-    Ok(conclude(&reports, &posted, &runs))
+    Ok(summarise(&reports, &post_keys, &runs))
 }
 
-fn start_fleet(user: &UserFleet) -> Outcome<Fleet> {
+fn start_fleet(user: &UserFleet) -> BoxResult<Fleet> {
     let platform = PartProcess::spawn("platform", &[])?;
     let program = std::env::current_exe()?;
     let mut daemons = Vec::new();
     let mut targets = Vec::new();
-    let sizes =
+    let services =
         user.services.iter().flat_map(|service| (0..service.targets).map(move |n| (service, n)));
-    for (index, (service, number)) in sizes.enumerate() {
+    for (index, (service, number)) in services.enumerate() {
         let daemon = DaemonProcess::spawn(&DaemonSpec {
             advertised: None,
             log_file: None,
             command: vec![program.clone().into(), "--part".into(), "daemon".into()],
             host: format!("host-{}-{number}", service.name),
-            data_centre: user.centres[number % user.centres.len()].to_owned(),
+            data_centre: user.data_centres[number % user.data_centres.len()].to_owned(),
             platform: platform.address,
             seeds: Vec::new(),
             stop_bound_ms: 5_000,
             seed: index as u64,
             deployment: None,
         })?;
-        // Every second host is an old one, half as fast.
+        // Every second host is older and half as fast.
         let service_us = if index % 2 == 0 { 4_000 } else { 8_000 };
         let target = PartProcess::spawn(
             "target",
@@ -217,22 +224,24 @@
     Ok(Fleet { daemons, targets, platform })
 }
 
-async fn publish(user: &UserFleet, platform: SocketAddr) -> Outcome<()> {
+async fn publish(user: &UserFleet, platform: SocketAddr) -> BoxResult<()> {
     let config = FleetConfig::parse("template", user.template)?;
     railspan::publish(&open_store(platform), &config, "quickstart", None).await?;
     Ok(())
 }
 
 /// Waits until every service answers through every daemon.
-async fn wait_ready(user: &UserFleet, places: &[DaemonPlace]) -> Outcome<()> {
+///
+/// Fails if that takes longer than `READY_TIMEOUT`.
+async fn wait_ready(user: &UserFleet, daemons: &[DaemonPlace]) -> BoxResult<()> {
     let client = CallerClient::open();
-    let until = Instant::now() + START_LIMIT;
-    for place in places {
+    let ready_by = Instant::now() + READY_TIMEOUT;
+    for daemon in daemons {
         for service in &user.services {
             let call = read_call(service.name, user.tokens[0], "/ready?size=10");
-            while client.call(place.caller, &call).await.verdict != Verdict::Complete {
-                if Instant::now() > until {
-                    return Err("the fleet did not come up".into());
+            while client.call(daemon.caller, &call).await.verdict != Verdict::Complete {
+                if Instant::now() > ready_by {
+                    return Err(format!("the fleet was not ready within {READY_TIMEOUT:?}").into());
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -253,8 +262,8 @@
     }
 }
 
-/// Draws the calls: mostly reads, some of what must not repeat.
-fn draw_calls(options: &QuickOptions, user: &UserFleet) -> Vec<CallRequest> {
+/// Draws the calls: mostly reads, and some `POST` calls, which must not run twice.
+fn draw_calls(options: &QuickstartOptions, user: &UserFleet) -> Vec<CallRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let mut calls = Vec::new();
     for number in 0..options.calls {
@@ -262,9 +271,9 @@
         let token = user.tokens[rng.random_range(0..user.tokens.len())];
         let size = [200, 2_000, 40_000][rng.random_range(0..3)];
         let mut call = read_call(service.name, token, &format!("/item/{number}?size={size}"));
-        if service.posts && rng.random_range(0..4) == 0 {
+        if service.has_posts && rng.random_range(0..4) == 0 {
             call.method = "POST";
-            // Only short answers are recorded for repeats.
+            // Only short answers are recorded for repeated calls.
             call.path = format!("/item/{number}?size=300");
             call.key = Some(format!("key-{number}"));
             call.body = format!("body of {number}").into_bytes();
@@ -275,30 +284,33 @@
 }
 
 async fn make_calls(
-    options: &QuickOptions,
+    options: &QuickstartOptions,
     user: &UserFleet,
-    places: &[DaemonPlace],
+    daemons: &[DaemonPlace],
     fleet: &mut Fleet,
-) -> Outcome<(Vec<CallReport>, Vec<String>)> {
+) -> BoxResult<(Vec<CallReport>, Vec<String>)> {
     let calls = draw_calls(options, user);
-    let posted = calls.iter().filter_map(|call| call.key.clone()).collect();
+    let post_keys = calls.iter().filter_map(|call| call.key.clone()).collect();
     let bar = ProgressBar::new(u64::from(options.calls));
     bar.set_style(ProgressStyle::with_template("calls {bar:40} {pos}/{len} {elapsed}")?);
     let client = CallerClient::open();
-    let gate = Arc::new(Semaphore::new(options.at_once));
-    let places: Arc<[DaemonPlace]> = Arc::from(places);
+    let call_limit = Arc::new(Semaphore::new(options.at_once));
+    let daemons: Arc<[DaemonPlace]> = Arc::from(daemons);
     let mut tasks = JoinSet::new();
     for (number, call) in calls.into_iter().enumerate() {
-        let permit = Arc::clone(&gate).acquire_owned().await?;
+        let permit = Arc::clone(&call_limit).acquire_owned().await?;
         if number == options.calls as usize / 2
-            && let Some(killed) = options.kill
+            && let Some(index) = options.kill
         {
-            let daemon = fleet.daemons.get_mut(killed).ok_or("no such daemon to kill")?;
+            let daemon = fleet
+                .daemons
+                .get_mut(index)
+                .ok_or("the index of the daemon to kill is out of range")?;
             daemon.kill()?;
         }
-        let (client, bar, places) = (client.clone(), bar.clone(), Arc::clone(&places));
+        let (client, bar, daemons) = (client.clone(), bar.clone(), Arc::clone(&daemons));
         tasks.spawn(async move {
-            let report = call_until_run(&client, &places, number, &call).await;
+            let report = call_until_run(&client, &daemons, number, &call).await;
             bar.inc(1);
             drop(permit);
             report
@@ -306,38 +318,38 @@
     }
     let reports = tasks.join_all().await;
     bar.finish();
-    Ok((reports, posted))
+    Ok((reports, post_keys))
 }
 
-/// Calls, and comes back when told to, through the next daemon.
+/// Makes a call; retries it through the next daemon if its outcome allows it.
 async fn call_until_run(
     client: &CallerClient,
-    places: &[DaemonPlace],
+    daemons: &[DaemonPlace],
     number: usize,
     call: &CallRequest,
 ) -> CallReport {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        let place = &places[(number + tries as usize) % places.len()];
-        let report = client.call(place.caller, call).await;
-        tries += 1;
-        let come_back = match report.verdict {
+        let daemon = &daemons[(number + attempts as usize) % daemons.len()];
+        let report = client.call(daemon.caller, call).await;
+        attempts += 1;
+        let retry_after_ms = match report.verdict {
             Verdict::NotRun => report.retry_after_ms,
-            // A repeat of a read, or of a keyed call, is safe.
+            // Reads, and calls with an idempotency key, are safe to repeat.
             Verdict::Broken | Verdict::Unknown => Some(20),
             _ => None,
         };
-        match come_back {
-            Some(wait) if tries <= COME_BACKS => {
-                tokio::time::sleep(Duration::from_millis(u64::from(wait))).await;
+        match retry_after_ms {
+            Some(delay_ms) if attempts <= MAX_RETRIES => {
+                tokio::time::sleep(Duration::from_millis(u64::from(delay_ms))).await;
             }
             _ => return report,
         }
     }
 }
 
-/// Reads from the targets what they ran.
-async fn read_runs(fleet: &Fleet) -> Outcome<Vec<TargetRun>> {
+/// Fetches from all targets the calls that they ran.
+async fn read_runs(fleet: &Fleet) -> BoxResult<Vec<TargetRun>> {
     let mut runs = Vec::new();
     for target in &fleet.targets {
         runs.extend(railspan_standins::fetch_runs(target.address).await?);
@@ -345,19 +357,20 @@
     Ok(runs)
 }
 
-fn conclude(reports: &[CallReport], posted: &[String], runs: &[TargetRun]) -> ExitCode {
+/// Prints a summary; fails if an answer was wrong or a `POST` call ran twice.
+fn summarise(reports: &[CallReport], post_keys: &[String], runs: &[TargetRun]) -> ExitCode {
     let count = |verdict| reports.iter().filter(|report| report.verdict == verdict).count();
     let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are constants"));
     for report in reports.iter().filter(|report| report.verdict == Verdict::Complete) {
         latencies.saturating_record(report.took.as_micros() as u64);
     }
-    let mut ran: HashMap<&str, usize> = HashMap::new();
+    let mut run_counts: HashMap<&str, usize> = HashMap::new();
     for key in runs.iter().filter_map(|run| run.key.as_deref()) {
-        *ran.entry(key).or_default() += 1;
+        *run_counts.entry(key).or_default() += 1;
     }
     let run_twice =
-        posted.iter().filter(|key| ran.get(key.as_str()).is_some_and(|&n| n > 1)).count();
+        post_keys.iter().filter(|key| run_counts.get(key.as_str()).is_some_and(|&n| n > 1)).count();
     let wrong = count(Verdict::Wrong);
     println!(
         "calls={} complete={} wrong={wrong} not_run={} unknown={} broken={} run_twice={run_twice} \
--- a/examples/quickstart/users.rs
+++ b/examples/quickstart/users.rs
@@ -1,45 +1,46 @@
-//! The fleets of the two users whose services the example plays.
+//! The fleets of the two users whose services the example runs.
 
-/// One service of a user.
+/// A service of a user.
 #[derive(Clone, Copy)]
 pub(crate) struct ServiceSize {
     pub(crate) name: &'static str,
     pub(crate) targets: usize,
-    /// Whether callers also post what must not repeat.
-    pub(crate) posts: bool,
+    /// Whether callers also send `POST` calls, which must not run twice.
+    pub(crate) has_posts: bool,
 }
 
-/// One user's fleet.
+/// The fleet of a user.
 pub(crate) struct UserFleet {
     pub(crate) template: &'static str,
-    pub(crate) centres: [&'static str; 3],
+    pub(crate) data_centres: [&'static str; 3],
     pub(crate) tokens: [&'static str; 2],
+    /// Number of calls that a target runs at once.
     pub(crate) slots: u16,
     pub(crate) services: [ServiceSize; 4],
 }
 
 pub(crate) const FUNDACION: UserFleet = UserFleet {
     template: include_str!("../fundacion.jsonc"),
-    centres: ["ba-norte-1", "ba-norte-2", "ba-norte-3"],
+    data_centres: ["ba-norte-1", "ba-norte-2", "ba-norte-3"],
     tokens: ["cooperativas-token", "emergencia-token"],
     slots: 12,
     services: [
-        ServiceSize { name: "grillas", targets: 4, posts: false },
-        ServiceSize { name: "avisos", targets: 3, posts: true },
-        ServiceSize { name: "cuotas", targets: 3, posts: true },
-        ServiceSize { name: "estaciones", targets: 3, posts: false },
+        ServiceSize { name: "grillas", targets: 4, has_posts: false },
+        ServiceSize { name: "avisos", targets: 3, has_posts: true },
+        ServiceSize { name: "cuotas", targets: 3, has_posts: true },
+        ServiceSize { name: "estaciones", targets: 3, has_posts: false },
     ],
 };
 
 pub(crate) const CONSORTIUM: UserFleet = UserFleet {
     template: include_str!("../consortium.jsonc"),
-    centres: ["bagmati-1", "bagmati-2", "bagmati-3"],
+    data_centres: ["bagmati-1", "bagmati-2", "bagmati-3"],
     tokens: ["kathmandu-token", "pokhara-token"],
     slots: 6,
     services: [
-        ServiceSize { name: "pathshala", targets: 4, posts: true },
-        ServiceSize { name: "bujhaune", targets: 3, posts: false },
-        ServiceSize { name: "natija", targets: 3, posts: true },
-        ServiceSize { name: "samay", targets: 3, posts: false },
+        ServiceSize { name: "pathshala", targets: 4, has_posts: true },
+        ServiceSize { name: "bujhaune", targets: 3, has_posts: false },
+        ServiceSize { name: "natija", targets: 3, has_posts: true },
+        ServiceSize { name: "samay", targets: 3, has_posts: false },
     ],
 };
