--- a/tests/soak/capacity_events.rs
+++ b/tests/soak/capacity_events.rs
@@ -142,7 +142,9 @@
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let from = period.from + COLD_REPORT_DELAY;
     let in_period = |arrival: &&Arrival| {
-        arrival.target == period.target && arrival.run.received_at >= from && arrival.run.received_at < period.to
+        arrival.target == period.target
+            && arrival.run.received_at >= from
+            && arrival.run.received_at < period.to
     };
     let times: Vec<Instant> =
         arrivals.iter().filter(in_period).map(|arrival| arrival.run.received_at).collect();
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -160,7 +160,8 @@
         // A guard that was suspended after it had computed the remaining time sent it late;
         // the remaining time then counts from the start of the suspension.
         let suspended_at = fleet.hosts[arrival.host].first_freeze(record.sent, run.received_at);
-        let end = remaining.clone().map(|remaining| suspended_at.unwrap_or(run.received_at) + remaining);
+        let end =
+            remaining.clone().map(|remaining| suspended_at.unwrap_or(run.received_at) + remaining);
         let last = record.sent + record.deadline + DEADLINE_SLACK;
         if end.is_err() || end.is_ok_and(|end| end > last && !was_suspended) {
             let late = run.received_at.saturating_duration_since(record.sent);
@@ -259,7 +260,8 @@
 ) {
     let mut retries: Vec<Instant> = Vec::new();
     for arrivals in by_id.values() {
-        let mut times: Vec<Instant> = arrivals.iter().map(|arrival| arrival.run.received_at).collect();
+        let mut times: Vec<Instant> =
+            arrivals.iter().map(|arrival| arrival.run.received_at).collect();
         times.sort_unstable();
         retries.extend(times.iter().skip(1));
     }
--- a/tests/soak/crash_requests.rs
+++ b/tests/soak/crash_requests.rs
@@ -83,7 +83,8 @@
     let mut copies: Vec<&Arrival> = arrivals.iter().filter(is_copy).collect();
     copies.sort_unstable_by_key(|arrival| arrival.run.received_at);
     println!("{} copies reached targets", copies.len());
-    let Some(blamed_at) = copies.get(BLAME_CRASHES - 1).map(|arrival| arrival.run.received_at) else {
+    let Some(blamed_at) = copies.get(BLAME_CRASHES - 1).map(|arrival| arrival.run.received_at)
+    else {
         return;
     };
     // A daemon that was started or suspended, or whose links were impaired, need not have
@@ -93,8 +94,10 @@
         let since = at.checked_sub(BLAME_SPREAD_TIME).unwrap_or(at);
         !fleet.was_disrupted(arrival.host, since, at)
     };
-    let late =
-        copies.iter().copied().filter(|arrival| arrival.run.received_at > blamed_at + BLAME_SPREAD_TIME);
+    let late = copies
+        .iter()
+        .copied()
+        .filter(|arrival| arrival.run.received_at > blamed_at + BLAME_SPREAD_TIME);
     let late = late.filter(was_connected).count();
     if late > MAX_LATE_COPIES {
         findings.push(format!(
