--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -8,9 +8,8 @@
 //! This module merges member records. `probing` detects failed members, in the order of
 //! `probe_order`; `receive` handles datagrams; `dissemination` sends the updates that
 //! `update_queue` selects; `suspect_requests` spreads which requests may crash targets.
-//!
-//! Figures at constants were measured with the state machines of 295 daemons in five data
-//! centres, in virtual time, with a twentieth of the datagrams lost.
+//! Figures at constants refer to the state machines of 295 daemons in five data centres, in
+//! virtual time, with a twentieth of the datagrams lost.
 
 mod dissemination;
 mod events;
